--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -4,5 +4,6 @@
 pub mod invariants;
 pub mod loopback;
 pub mod sim;
+pub mod wire;
 pub mod world;
 pub use ravenhead_stand_ins::keys;
--- a/tests/support/sim.rs
+++ b/tests/support/sim.rs
@@ -1,5 +1,6 @@
 //! Virtual time and an in-memory network for whole processes on one thread. The same seed gives the same run.
 
+use super::wire;
 use event_listener::Event;
 use futures_lite::FutureExt;
 use ravenhead::clock::{self, Time};
@@ -487,6 +488,7 @@
             p.chunks.push_back((at, buf.to_vec()));
             true
         });
+        wire::note(sim.now(), self.output.from, self.output.to, buf);
         Poll::Ready(if good {
             Ok(buf.len())
         } else {
