--- /dev/null
+++ b/tests/pinned_frames.rs
@@ -0,0 +1,409 @@
+//! The bytes of every message between controllers, and of the frames that carry them, pinned: controllers of two releases
+//! talk to each other while one replaces the other.
+//!
+//! The expectations in `fixtures/pinned/frames.txt` were made by the code before it was renamed, and are never made anew.
+
+mod support;
+
+use async_io::block_on;
+use bitcode::{DecodeOwned, Encode};
+use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
+use ravenhead::cancellations::{Cancellation, Gone};
+use ravenhead::net::{Listener, Stream};
+use ravenhead::peer::{Frame, Knowledge, Peer, Reply, Request, serve};
+use ravenhead::scheduler::{ExitCause, JobId, MachineId, Order, Report, ReportedTask, TaskState};
+use ravenhead::units::Micros;
+use std::cell::RefCell;
+use std::fmt::Debug;
+use std::future::ready;
+use support::pinned::{assert_pinned, expected, hex, pinned, unhex};
+
+const FIXTURE: &str = include_str!("fixtures/pinned/frames.txt");
+const LIMIT: Micros = Micros::secs(30);
+
+/// Values have the bytes that the fixture has for them, and the bytes of the fixture are read as the values.
+fn assert_bytes<T: Encode + DecodeOwned + PartialEq + Debug>(group: &str, values: &[(&str, T)]) {
+    let made = values.iter();
+    let made: Vec<(&str, String)> = made
+        .map(|(name, value)| (*name, hex(&bitcode::encode(value))))
+        .collect();
+    assert_pinned(FIXTURE, group, &made);
+    for (line, (name, value)) in pinned(FIXTURE, group).into_iter().zip(values) {
+        let read: T = bitcode::decode(&unhex(expected(line))).expect(name);
+        assert_eq!(read, *value, "{name}");
+    }
+}
+
+fn job(id: &str) -> JobId {
+    JobId(id.into())
+}
+
+fn machine(id: &str) -> MachineId {
+    MachineId(id.into())
+}
+
+fn known() -> Knowledge {
+    Knowledge {
+        token: 4_711,
+        leader: Some("n-2".into()),
+        state_reachable: true,
+        misses_one: false,
+        incarnation: 0x0123_4567_89ab_cdef,
+        leads: true,
+    }
+}
+
+fn cancellation() -> Cancellation {
+    Cancellation {
+        job: job("j-000412"),
+        at: 1_800_000_000_123_456,
+        machines: vec![machine("m-000001"), machine("m-000231")],
+    }
+}
+
+fn gone() -> Gone {
+    Gone {
+        job: job("j-7"),
+        machine: machine("m-000009"),
+    }
+}
+
+fn task(name: &str, attempt: u64, state: TaskState, cause: Option<ExitCause>) -> ReportedTask {
+    ReportedTask {
+        task: name.into(),
+        attempt,
+        state,
+        cause,
+    }
+}
+
+/// A report with tasks in every state and with every cause.
+fn report() -> Report {
+    Report {
+        machine: machine("m-000231"),
+        machine_type: "g8".into(),
+        zone: "z1".into(),
+        spot: true,
+        session: 77,
+        seq: 1_234,
+        token: 4_710,
+        notice_s: Some(12.5),
+        tasks: vec![
+            task("j-1/0", 1, TaskState::Fetching, None),
+            task("j-1/1", 2, TaskState::Running, None),
+            task("j-1/2", 3, TaskState::Saving, None),
+            task("j-2/0", 1 << 33, TaskState::Exited, Some(ExitCause::Done)),
+            task("j-2/1", 5, TaskState::Exited, Some(ExitCause::Stopped)),
+            task("j-2/2", 6, TaskState::Exited, Some(ExitCause::Error)),
+            task("j-2/3", 7, TaskState::Exited, Some(ExitCause::NoRoom)),
+            task("j-2/4", 8, TaskState::Exited, Some(ExitCause::Busy)),
+            task("j-2/5", 9, TaskState::Exited, Some(ExitCause::Unknown)),
+            task("j-2/6", 10, TaskState::Exited, Some(ExitCause::Other)),
+            task("j-2/7", u64::MAX, TaskState::Other, None),
+        ],
+    }
+}
+
+fn run() -> Order {
+    Order::Run {
+        task: "j-1/3".into(),
+        attempt: 4,
+    }
+}
+
+fn stop() -> Order {
+    Order::Stop {
+        task: "j-000412/99999".into(),
+        attempt: 1 << 40,
+        slack_s: 30.25,
+    }
+}
+
+fn clear() -> Order {
+    Order::Clear {
+        task: "j-2/0".into(),
+        attempt: 1 << 33,
+    }
+}
+
+fn framed<T>(message: T) -> Frame<T> {
+    Frame {
+        known: known(),
+        message,
+    }
+}
+
+fn ping() -> Request {
+    Request::Ping {
+        cancelled: vec![cancellation()],
+        gone: vec![gone()],
+    }
+}
+
+fn answer() -> Reply {
+    Reply::Answer {
+        token: 4_711,
+        orders: vec![run(), stop(), clear()],
+    }
+}
+
+#[test]
+fn knowledge_keeps_its_bytes_with_each_field_set_alone() {
+    let none = Knowledge::default;
+    assert_bytes(
+        "knowledge",
+        &[
+            ("nothing", none()),
+            (
+                "token",
+                Knowledge {
+                    token: 300,
+                    ..none()
+                },
+            ),
+            (
+                "leader",
+                Knowledge {
+                    leader: Some("n-0".into()),
+                    ..none()
+                },
+            ),
+            (
+                "state-reachable",
+                Knowledge {
+                    state_reachable: true,
+                    ..none()
+                },
+            ),
+            (
+                "misses-one",
+                Knowledge {
+                    misses_one: true,
+                    ..none()
+                },
+            ),
+            (
+                "incarnation",
+                Knowledge {
+                    incarnation: u64::MAX,
+                    ..none()
+                },
+            ),
+            (
+                "leads",
+                Knowledge {
+                    leads: true,
+                    ..none()
+                },
+            ),
+            ("all", known()),
+        ],
+    );
+}
+
+#[test]
+fn each_task_state_and_each_cause_of_an_exit_keeps_its_bytes() {
+    assert_bytes(
+        "state",
+        &[
+            ("pulling", TaskState::Fetching),
+            ("running", TaskState::Running),
+            ("flushing", TaskState::Saving),
+            ("exited", TaskState::Exited),
+            ("other", TaskState::Other),
+        ],
+    );
+    assert_bytes(
+        "cause",
+        &[
+            ("done", ExitCause::Done),
+            ("halted", ExitCause::Stopped),
+            ("error", ExitCause::Error),
+            ("no_room", ExitCause::NoRoom),
+            ("busy", ExitCause::Busy),
+            ("unknown", ExitCause::Unknown),
+            ("other", ExitCause::Other),
+        ],
+    );
+}
+
+#[test]
+fn each_order_keeps_its_bytes() {
+    assert_bytes(
+        "order",
+        &[("run", run()), ("stop", stop()), ("clear", clear())],
+    );
+    assert_bytes(
+        "orders",
+        &[
+            ("none", vec![]),
+            ("each", vec![run(), stop(), clear(), run()]),
+        ],
+    );
+}
+
+#[test]
+fn cancellations_and_what_is_gone_keep_their_bytes() {
+    let without = Cancellation {
+        machines: Vec::new(),
+        ..cancellation()
+    };
+    assert_bytes(
+        "cancellation",
+        &[("placed", cancellation()), ("not-placed", without)],
+    );
+    assert_bytes("gone", &[("one", gone())]);
+}
+
+#[test]
+fn reports_keep_their_bytes() {
+    let idle = Report {
+        spot: false,
+        notice_s: None,
+        tasks: Vec::new(),
+        ..report()
+    };
+    let first = Report {
+        session: 1,
+        seq: 0,
+        token: 0,
+        ..idle.clone()
+    };
+    let many = (0..70).map(|n| task(&format!("j-3/{n}"), 1, TaskState::Running, None));
+    let full = Report {
+        tasks: many.collect(),
+        ..report()
+    };
+    assert_bytes(
+        "report",
+        &[
+            ("every-state", report()),
+            ("idle", idle),
+            ("first", first),
+            ("full", full),
+        ],
+    );
+}
+
+#[test]
+fn frame_of_each_request_variant_keeps_its_bytes() {
+    let nothing = Request::Ping {
+        cancelled: Vec::new(),
+        gone: Vec::new(),
+    };
+    let several = Request::Ping {
+        cancelled: vec![
+            cancellation(),
+            Cancellation {
+                job: job("j-1"),
+                ..cancellation()
+            },
+        ],
+        gone: (0..3).map(|_| gone()).collect(),
+    };
+    let passed_on = |relay| Request::Report {
+        relay,
+        via: "n-1".into(),
+        report: report(),
+    };
+    let unknown = Frame {
+        known: Knowledge::default(),
+        message: nothing.clone(),
+    };
+    assert_bytes(
+        "request",
+        &[
+            ("ping-of-one-that-knows-nothing", unknown),
+            ("ping-with-nothing-to-tell", framed(nothing)),
+            ("ping", framed(ping())),
+            ("ping-with-several", framed(several)),
+            ("report", framed(passed_on(false))),
+            ("report-to-be-relayed", framed(passed_on(true))),
+        ],
+    );
+}
+
+#[test]
+fn frame_of_each_reply_variant_keeps_its_bytes() {
+    let no_orders = Reply::Answer {
+        token: 0,
+        orders: Vec::new(),
+    };
+    assert_bytes(
+        "reply",
+        &[
+            ("pong", framed(Reply::Pong)),
+            ("answer", framed(answer())),
+            ("answer-without-orders", framed(no_orders)),
+            ("no-leader", framed(Reply::NoLeader)),
+        ],
+    );
+}
+
+/// What stands in the fixture under a name on the wire.
+fn on_the_wire(name: &str) -> Vec<u8> {
+    let lines = pinned(FIXTURE, "wire");
+    let line = lines.iter().find(|line| {
+        let rest = line.strip_prefix("wire/");
+        rest.and_then(|r| r.split_once(' '))
+            .is_some_and(|(n, _)| n == name)
+    });
+    unhex(expected(line.expect("it is in the fixture")))
+}
+
+/// Reads as many bytes as are expected.
+async fn read(stream: &mut Stream, expected: &[u8]) -> Vec<u8> {
+    let mut bytes = vec![0; expected.len()];
+    stream.read_exact(&mut bytes).await.expect("as many bytes");
+    bytes
+}
+
+async fn listen() -> Listener {
+    let any = "127.0.0.1:0".parse().expect("an address");
+    Listener::bind(any).await.expect("a listener")
+}
+
+#[test]
+fn a_request_and_its_reply_go_over_a_connection_as_length_and_body() {
+    let (request, reply) = (on_the_wire("request"), on_the_wire("reply"));
+    let length = u32::from_be_bytes(request[..4].try_into().expect("four bytes"));
+    assert_eq!(length as usize, request.len() - 4);
+    block_on(async {
+        let listener = listen().await;
+        let at = listener.local_addr().expect("its address");
+        let peer = Peer::new("n-1".into(), at, 1);
+        let other = async {
+            let mut stream = listener.accept().await.expect("a connection");
+            assert_eq!(hex(&read(&mut stream, &request).await), hex(&request));
+            stream.write_all(&reply).await.expect("it is taken");
+        };
+        let asked = peer.call(known(), ping(), LIMIT);
+        let (_, answered) = future::zip(other, asked).await;
+        assert_eq!(answered.expect("a reply"), framed(answer()));
+    });
+}
+
+#[test]
+fn a_controller_reads_a_request_from_a_connection_and_writes_its_reply() {
+    let (request, reply) = (on_the_wire("request"), on_the_wire("reply"));
+    block_on(async {
+        let listener = listen().await;
+        let at = listener.local_addr().expect("its address");
+        let asked = RefCell::new(Vec::new());
+        let serving = async {
+            let stream = listener.accept().await.expect("a connection");
+            serve(stream, |frame| {
+                asked.borrow_mut().push(frame);
+                ready(framed(answer()))
+            })
+            .await;
+        };
+        let asking = async {
+            let mut stream = Stream::connect(at).await.expect("a connection");
+            stream.write_all(&request).await.expect("it is taken");
+            assert_eq!(hex(&read(&mut stream, &reply).await), hex(&reply));
+        };
+        future::zip(serving, asking).await;
+        assert_eq!(asked.take(), [framed(ping())]);
+    });
+}
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod invariants;
 pub mod loopback;
+pub mod pinned;
 pub mod sim;
 pub mod wire;
 pub mod world;
