--- /dev/null
+++ b/tests/pinned_records.rs
@@ -0,0 +1,496 @@
+//! Every stored record under its key, pinned: what stands in the state service outlives every release.
+//!
+//! The expectations in `fixtures/pinned/records.txt` are the changes as they are sent to the state service, made by the code
+//! before it was renamed. `records-of-earlier-releases.txt` has what is read as well, written by hand from the history of
+//! the records: forms that earlier releases wrote, records without what has a default, and answers of the state service.
+//! Neither is ever made anew.
+
+mod support;
+
+use ravenhead::cloud::Rental;
+use ravenhead::scheduler::{
+    CachedImage, ChunkRecord, End, Final, JobId, JobRecord, JobSpec, MachineId, MachineType,
+    Priority, Shape,
+};
+use ravenhead::state::{Change, Condition, Event, Page, WatchResponse};
+use ravenhead::store::{
+    ArchivedEnd, CandidateRecord, LEADER, LOSS, LeaderRecord, LossRecord, MACHINE_TYPES, PREFIX,
+    RentalRecord, TERM, View, ViewChange, archive_key, candidate_key, chunk_key, contacts_key,
+    end_key, images_key, job_key, rental_key,
+};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::{Value, from_str, from_value, json, to_string};
+use std::fmt::Debug;
+use std::rc::Rc;
+use support::pinned::{assert_pinned, expected, pinned};
+
+const FIXTURE: &str = include_str!("fixtures/pinned/records.txt");
+const EARLIER: &str = include_str!("fixtures/pinned/records-of-earlier-releases.txt");
+const VERSION: u64 = 9;
+
+/// A record as it is written: the name in the fixture, the key and the value.
+type Written<T> = (&'static str, String, T);
+
+/// Records are written as the fixture has them, and read from it as they were.
+fn assert_records<T>(group: &str, records: &[Written<T>])
+where
+    T: Serialize + DeserializeOwned + PartialEq + Debug,
+{
+    let made = records.iter().map(|(name, key, record)| {
+        let put = Change::put(key.clone(), json!(record));
+        (*name, to_string(&put).expect("JSON"))
+    });
+    assert_pinned(FIXTURE, group, &made.collect::<Vec<_>>());
+    for (line, (name, key, record)) in pinned(FIXTURE, group).into_iter().zip(records) {
+        let change: Value = from_str(expected(line)).expect(name);
+        assert_eq!(change["write"], json!(key), "{name}");
+        let read: T = from_value(change["data"].clone()).expect(name);
+        assert_eq!(read, *record, "{name}");
+    }
+}
+
+/// A view with the changes of a group in a fixture, and what it says of each.
+fn view(fixture: &str, group: &str) -> (View, Vec<Option<ViewChange>>) {
+    let mut view = View::default();
+    let put = |line: &str| {
+        let change: Value = from_str(expected(line)).expect("JSON");
+        let key = change["write"].as_str().expect("a key");
+        view.put(key, change["data"].clone(), VERSION).expect(line)
+    };
+    let news = pinned(fixture, group).into_iter().map(put).collect();
+    (view, news)
+}
+
+fn job(id: &str) -> JobId {
+    JobId::parse(id).expect("an id")
+}
+
+fn machine(id: &str) -> MachineId {
+    MachineId(id.into())
+}
+
+/// A job of one task, with nothing that can be left out.
+fn small() -> JobSpec {
+    JobSpec {
+        id: job("j-1"),
+        class: "batch".into(),
+        team: "large".into(),
+        shape: Shape::Array,
+        priority: Priority::Normal,
+        tasks: 1,
+        cores: 1.0,
+        cards: 0.0,
+        ram_gb: 0.5,
+        image: "i".into(),
+        image_gb: 1.0,
+        machine_types: None,
+        zone: None,
+        together: false,
+        spread: false,
+        spot: true,
+        expect_s: 60.0,
+        checkpoint_s: 0.0,
+        save_s: 0.0,
+        due_s: None,
+    }
+}
+
+/// A job with every field set.
+fn large() -> JobSpec {
+    JobSpec {
+        id: job("j-000412"),
+        class: "latency".into(),
+        team: "small \"é\"".into(),
+        shape: Shape::Gang,
+        priority: Priority::Critical,
+        tasks: 100_000,
+        cores: 3.5,
+        cards: 2.0,
+        ram_gb: 1e9,
+        image: "registry/i:2".into(),
+        image_gb: 12.25,
+        machine_types: Some(vec!["g8".into(), "c4".into()]),
+        zone: Some("z1".into()),
+        together: true,
+        spread: true,
+        spot: false,
+        expect_s: 1e-7,
+        checkpoint_s: 300.0,
+        save_s: 30.5,
+        due_s: Some(86_400.0),
+    }
+}
+
+fn submitted(spec: JobSpec) -> JobRecord {
+    JobRecord {
+        spec: Rc::new(spec),
+        at: 1_800_000_000_123_456,
+    }
+}
+
+fn with_id(id: &str, spec: JobSpec) -> JobSpec {
+    JobSpec {
+        id: job(id),
+        ..spec
+    }
+}
+
+fn shaped(id: &str, shape: Shape, priority: Priority) -> JobSpec {
+    JobSpec {
+        shape,
+        priority,
+        ..with_id(id, small())
+    }
+}
+
+fn done() -> End {
+    End {
+        how: Final::Done,
+        at: 1_800_000_000_123_456,
+        done: 100_000,
+    }
+}
+
+fn aborted() -> End {
+    End {
+        how: Final::Aborted,
+        at: 0,
+        done: 3,
+    }
+}
+
+fn rental() -> Rental {
+    Rental {
+        request_name: "r-7-0".into(),
+        machine_type: "g8".into(),
+        zone: "z0".into(),
+        spot: true,
+        count: 50,
+    }
+}
+
+fn machine_type() -> MachineType {
+    MachineType {
+        name: "g8".into(),
+        cores: 64.0,
+        cards: 8.0,
+        ram_gb: 512.0,
+        cache_gb: 200.5,
+        fetch_gb_per_s: 0.25,
+        price: 21.125,
+        spot_price: 7.0,
+        boot_s: 95.0,
+        zones: vec!["z0".into(), "z1".into()],
+    }
+}
+
+fn leader() -> LeaderRecord {
+    LeaderRecord {
+        node: "n-2".into(),
+        incarnation: u64::MAX,
+        lease: 17,
+    }
+}
+
+#[test]
+fn submissions_keep_their_keys_and_bytes() {
+    let records = [
+        submitted(small()),
+        submitted(large()),
+        submitted(shaped("j-2", Shape::Service, Priority::Low)),
+        submitted(shaped("j-3", Shape::Array, Priority::Urgent)),
+    ];
+    let names = ["small", "large", "standing-low", "sweep-urgent"];
+    let written = names.into_iter().zip(&records);
+    let written = written.map(|(name, r)| (name, job_key(&r.spec.id), r.clone()));
+    assert_records("job", &written.collect::<Vec<_>>());
+    let (view, news) = view(FIXTURE, "job");
+    assert_eq!(view.jobs.len(), records.len());
+    for (record, news) in records.into_iter().zip(news) {
+        let id = record.spec.id.clone();
+        assert_eq!(view.jobs[&id].value, record);
+        assert_eq!(view.jobs[&id].version, VERSION);
+        assert_eq!(news, Some(ViewChange::Job(id)));
+    }
+}
+
+#[test]
+fn ends_keep_their_keys_and_bytes() {
+    let ends = [("done", "j-1", done()), ("aborted", "j-000412", aborted())];
+    let written = ends.map(|(name, id, end)| (name, end_key(&job(id)), end));
+    assert_records("end", &written);
+    let (view, news) = view(FIXTURE, "end");
+    for ((_, id, end), news) in ends.into_iter().zip(news) {
+        assert_eq!(view.end(&job(id)), Some(end));
+        assert_eq!(news, Some(ViewChange::End(job(id))));
+    }
+}
+
+#[test]
+fn chunks_keep_their_keys_and_bytes() {
+    let running = ChunkRecord {
+        finished: 0x8000_0000_0000_00f1,
+        last_attempt: 1 << 33,
+        live: vec![(1, machine("m-000231"), 4), (63, machine("m-9"), 1 << 33)],
+    };
+    let finished = ChunkRecord {
+        finished: u64::MAX,
+        last_attempt: 1,
+        live: Vec::new(),
+    };
+    let records = [
+        ("fresh", "j-1", 0, ChunkRecord::default()),
+        ("running", "j-000412", 1, running),
+        ("finished", "j-000412", 1_562, finished),
+    ];
+    let written = records.clone();
+    let written = written.map(|(name, id, n, r)| (name, chunk_key(&job(id), n), r));
+    assert_records("run", &written);
+    let (view, _) = view(FIXTURE, "run");
+    for (_, id, n, record) in records {
+        assert_eq!(view.runs[&job(id)][&n].value, record);
+    }
+}
+
+#[test]
+fn rentals_keep_their_keys_and_bytes() {
+    let asked = RentalRecord {
+        rental: rental(),
+        machines: None,
+        at: 5,
+    };
+    let answered = RentalRecord {
+        rental: Rental {
+            request_name: "r-4294967303-12".into(),
+            spot: false,
+            ..rental()
+        },
+        machines: Some(vec![machine("m-000001"), machine("m-000002")]),
+        at: 1_800_000_000_123_456,
+    };
+    let written = [("asked", asked), ("answered", answered)];
+    let written = written.map(|(name, r)| (name, rental_key(&r.rental.request_name), r));
+    assert_records("rental", &written);
+    let (view, _) = view(FIXTURE, "rental");
+    for (_, _, record) in written {
+        assert_eq!(view.rentals[&record.rental.request_name], record);
+    }
+}
+
+#[test]
+fn images_keep_their_keys_and_bytes() {
+    let none: Vec<CachedImage> = Vec::new();
+    let some = vec![("i".to_owned(), 1.0), ("registry/i:2".to_owned(), 12.25)];
+    let written = [
+        ("none", images_key(&machine("m-000001")), none),
+        ("some", images_key(&machine("m-000231")), some.clone()),
+    ];
+    assert_records("images", &written);
+    let (view, _) = view(FIXTURE, "images");
+    assert_eq!(view.images[&machine("m-000001")], []);
+    assert_eq!(view.images[&machine("m-000231")], some);
+}
+
+#[test]
+fn contacts_keep_their_keys_and_bytes() {
+    let heard = vec![machine("m-000001"), machine("m-000231")];
+    let written = [
+        ("first", contacts_key("n-1", 0), heard.clone()),
+        ("later", contacts_key("n-1", 12), Vec::new()),
+    ];
+    assert_records("heard", &written);
+    let (_, news) = view(FIXTURE, "heard");
+    let told = |machines| Some(ViewChange::Contacts("n-1".into(), machines));
+    assert_eq!(news, [told(heard), told(Vec::new())]);
+}
+
+#[test]
+fn losses_keep_their_key_and_bytes() {
+    let found = LossRecord {
+        number: 1,
+        base: 1 << 20,
+        at: 1_800_000_000_123_456,
+        restored: false,
+        confirmed: false,
+    };
+    let over = LossRecord {
+        number: 2,
+        restored: true,
+        confirmed: true,
+        ..found.clone()
+    };
+    let written = [
+        ("found", LOSS.into(), found),
+        ("over", LOSS.into(), over.clone()),
+    ];
+    assert_records("loss", &written);
+    let (view, _) = view(FIXTURE, "loss");
+    assert_eq!(view.loss.expect("a loss").value, over);
+}
+
+#[test]
+fn candidates_keep_their_keys_and_bytes() {
+    let lost = CandidateRecord {
+        losses: 1,
+        revision: 4_711,
+        token: 1 << 33,
+        lost: true,
+    };
+    let nothing = CandidateRecord {
+        losses: 0,
+        revision: 0,
+        token: 0,
+        lost: false,
+    };
+    let written = [
+        ("lost", candidate_key("n-0"), lost.clone()),
+        ("nothing", candidate_key("n-1"), nothing.clone()),
+    ];
+    assert_records("rebuild", &written);
+    let (view, _) = view(FIXTURE, "rebuild");
+    assert_eq!(view.candidates["n-0"], lost);
+    assert_eq!(view.candidates["n-1"], nothing);
+}
+
+#[test]
+fn archives_of_ends_keep_their_keys_and_bytes() {
+    let archived = |id: &str, end| ArchivedEnd { job: job(id), end };
+    let first = vec![archived("j-1", done()), archived("j-000412", aborted())];
+    let written = [
+        ("first", archive_key(1, 0), first),
+        ("later", archive_key(12, 345), vec![archived("j-2", done())]),
+    ];
+    assert_records("ends", &written);
+    let (view, _) = view(FIXTURE, "ends");
+    assert_eq!(view.archives, 2);
+    assert_eq!(view.end(&job("j-1")), Some(done()));
+    assert_eq!(view.end(&job("j-000412")), Some(aborted()));
+    assert_eq!(view.end(&job("j-2")), Some(done()));
+}
+
+#[test]
+fn the_leader_and_its_term_keep_their_keys_and_bytes() {
+    assert_records("leader", &[("leader", LEADER.into(), leader())]);
+    assert_records("term", &[("term", TERM.into(), "n-2".to_owned())]);
+    let (led, _) = view(FIXTURE, "leader");
+    let led = led.leader.expect("a leader");
+    assert_eq!((led.value, led.version), (leader(), VERSION));
+    assert_eq!(view(FIXTURE, "term").0.term, VERSION);
+}
+
+#[test]
+fn machine_types_keep_their_key_and_bytes() {
+    let types = vec![machine_type()];
+    assert_records("flavors", &[("one", MACHINE_TYPES.into(), types.clone())]);
+    let (view, news) = view(FIXTURE, "flavors");
+    assert_eq!(view.machine_types.expect("machine types").value, types);
+    assert_eq!(news, [Some(ViewChange::MachineTypes)]);
+}
+
+#[test]
+fn conditions_and_changes_of_a_transaction_keep_their_bytes() {
+    let text = |value: &dyn Fn() -> serde_json::Result<String>| value().expect("JSON");
+    let elected = Change::Put {
+        key: LEADER.into(),
+        value: json!(leader()),
+        lease: Some(17),
+    };
+    let removed = Change::Delete {
+        key: job_key(&job("j-1")),
+    };
+    let absent = Condition::absent(end_key(&job("j-1")));
+    let unchanged = Condition {
+        key: LEADER.into(),
+        version: 4_711,
+    };
+    let made = [
+        ("prefix", text(&|| to_string(PREFIX))),
+        ("put-on-a-lease", text(&|| to_string(&elected))),
+        ("delete", text(&|| to_string(&removed))),
+        ("absent", text(&|| to_string(&absent))),
+        ("unchanged", text(&|| to_string(&unchanged))),
+    ];
+    assert_pinned(FIXTURE, "txn", &made);
+}
+
+#[test]
+fn records_of_earlier_releases_are_read_to_the_same_values() {
+    let (view, news) = view(EARLIER, "read");
+    let record = |id: &str| &view.jobs[&job(id)].value;
+    assert_eq!(*record("j-1"), submitted(small()));
+    assert_eq!(*record("j-2"), submitted(with_id("j-2", small())));
+    assert_eq!(*record("j-3"), submitted(with_id("j-3", small())));
+    let finished = ChunkRecord {
+        finished: 0xf1,
+        last_attempt: 2,
+        live: Vec::new(),
+    };
+    assert_eq!(view.runs[&job("j-1")][&0].value, finished);
+    assert_eq!(view.runs[&job("j-1")][&1].value, finished);
+    assert_eq!(view.end(&job("j-4")), Some(done()));
+    assert_eq!(view.leader.as_ref().expect("a leader").value, leader());
+    let asked = RentalRecord {
+        rental: rental(),
+        machines: None,
+        at: 5,
+    };
+    assert_eq!(view.rentals["r-7-0"], asked);
+    let types = view.machine_types.as_ref().expect("machine types");
+    assert_eq!(types.value, [machine_type()]);
+    // The first release told all that a controller hears under one key.
+    let told = ViewChange::Contacts("n-1".into(), vec![machine("m-000231")]);
+    assert!(news.contains(&Some(told)));
+}
+
+#[test]
+fn a_key_that_only_the_first_release_wrote_is_refused_without_harm() {
+    let lines = pinned(EARLIER, "refused");
+    assert_eq!(lines.len(), 1);
+    let change: Value = from_str(expected(lines[0])).expect("JSON");
+    let key = change["write"].as_str().expect("a key");
+    let mut view = View::default();
+    assert!(view.put(key, change["data"].clone(), VERSION).is_err());
+    assert!(view.rentals.is_empty());
+}
+
+#[test]
+fn pages_and_changes_of_the_state_service_are_read_from_their_bytes() {
+    let answer = |name: &str| {
+        let lines = pinned(EARLIER, "answer");
+        let line = lines.into_iter().find(|line| line.contains(name));
+        expected(line.expect("it is in the fixture"))
+    };
+    let page: Page = from_str(answer("answer/page ")).expect("a page");
+    assert_eq!(
+        (page.more, page.revision, page.items.len()),
+        (true, 4_711, 1)
+    );
+    let item = &page.items[0];
+    assert_eq!((item.key.as_str(), item.version), ("r/end/j-1", 12));
+    assert_eq!(
+        from_value::<End>(item.value.clone()).expect("an end"),
+        done()
+    );
+    let watched: WatchResponse = from_str(answer("answer/watch ")).expect("changes");
+    assert_eq!(watched.revision, 4_712);
+    let [
+        Event::Put {
+            key,
+            value,
+            version,
+        },
+        Event::Delete {
+            key: gone,
+            version: at,
+        },
+    ] = &watched.events[..]
+    else {
+        panic!("{:?}", watched.events)
+    };
+    assert_eq!((key.as_str(), *version), ("r/term", 4_711));
+    assert_eq!(*value, json!("n-2"));
+    assert_eq!((gone.as_str(), *at), ("r/job/j-1", 4_712));
+    let quiet: WatchResponse = from_str(answer("answer/quiet ")).expect("no changes");
+    assert!(quiet.events.is_empty());
+}
