--- a/tests/pinned_histories.rs
+++ b/tests/pinned_histories.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use support::wire;
 use support::world::{
-    CANCEL_S, Deployment, Loss, STATE, World, job, machine_host, node_host, with,
+    Boots, CANCEL_S, Deployment, Loss, STATE, World, job, machine_host, node_host, with,
 };
 
 const FIXTURE: &str = include_str!("fixtures/pinned/histories.txt");
@@ -208,3 +208,91 @@
         w.run(45.0);
     });
 }
+
+#[test]
+fn five_controllers_that_end_one_after_the_other_keep_their_history() {
+    let deployment = Deployment {
+        nodes: 5,
+        ..Deployment::default()
+    };
+    assert_pinned("five_controllers", &deployment, |w| {
+        users_come(w);
+        for n in 0..4 {
+            let leader = w.await_leader();
+            w.kill_node(leader);
+            w.spawn_cancel(n, &format!("j-a01{n}"));
+            w.run(5.0);
+            w.start_node(leader);
+        }
+        w.settle(150.0);
+    });
+}
+
+#[test]
+fn a_slow_state_service_and_copies_of_reports_keep_their_history() {
+    assert_pinned("slow_state_service", &Deployment::default(), |w| {
+        w.copies.set(0.2);
+        w.state.borrow_mut().slow_s = 0.6;
+        users_come(w);
+        w.run(10.0);
+        w.copies.set(0.0);
+        w.state.replace(Default::default());
+        w.settle(150.0);
+    });
+}
+
+#[test]
+fn a_team_at_its_limit_keeps_its_history() {
+    assert_pinned("team_at_its_limit", &Deployment::default(), |w| {
+        for n in 0..9 {
+            let spec = with(job(&format!("j-s{n}"), 2, 15.0), json!({"crew": "small"}));
+            w.spawn_submit(n, spec);
+        }
+        w.run(25.0);
+        for n in 0..5 {
+            w.spawn_cancel(n, &format!("j-s{n}"));
+        }
+        w.run(2.0);
+        w.kill_node(w.await_leader());
+        w.run(5.0);
+        (0..3)
+            .filter(|n| !w.sim.lives(node_host(*n)))
+            .for_each(|n| w.start_node(n));
+        w.settle(150.0);
+    });
+}
+
+#[test]
+fn a_loss_of_stored_state_in_an_election_keeps_its_history() {
+    let deployment = Deployment {
+        rebuilds: true,
+        ..Deployment::default()
+    };
+    assert_pinned("lost_in_an_election", &deployment, |w| {
+        users_come(w);
+        let leader = w.await_leader();
+        w.kill_node(leader);
+        w.run(1.5);
+        w.lose_state(Loss::All);
+        w.run(5.0);
+        w.start_node(leader);
+        w.run(60.0);
+        w.settle(200.0);
+    });
+}
+
+#[test]
+fn an_outage_of_the_cloud_and_machines_that_never_come_up_keep_their_history() {
+    assert_pinned("cloud_out", &Deployment::default(), |w| {
+        w.boots.set(Boots {
+            seconds: 6.0,
+            failed: 0.3,
+        });
+        w.run(1.0);
+        users_come(w);
+        w.cloud_out.set(true);
+        w.run(20.0);
+        w.cloud_out.set(false);
+        w.settle(200.0);
+    });
+}
