--- a/tests/pinned_wire.rs
+++ b/tests/pinned_wire.rs
@@ -211,7 +211,9 @@
         serve(cloud, move |message| {
             cloud_stand_in(types.as_deref(), message)
         });
-        let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.toml"));
+        // Each process has files of its own, so that two runs of these tests do not mix their addresses.
+        let file = format!("{name}-{}.toml", std::process::id());
+        let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(file);
         std::fs::write(&path, platform).expect("a file");
         let process = Command::new(env!("CARGO_BIN_EXE_ravenhead"))
             .arg("--config")
