--- a/crates/index/src/by_kind.rs
+++ b/crates/index/src/by_kind.rs
@@ -15,7 +15,7 @@
 
 impl<const N: usize, const K: usize> FirstFitByKind<N, K> {
     /// The amounts of a slot that is not of a kind.
-    pub const NOTHING: [i64; N] = [i64::MIN; N];
+    pub const ABSENT_KEY: [i64; N] = [i64::MIN; N];
 
     /// So many slots, of which nothing is known yet.
     pub fn new(slots: usize) -> FirstFitByKind<N, K> {
--- a/crates/index/src/lib.rs
+++ b/crates/index/src/lib.rs
@@ -1,7 +1,7 @@
 //! Data structures whose cost per operation does not grow with the size of the fleet.
 //!
 //! They hold no clock and do no I/O: callers pass times in. The controller uses them wherever a plain loop over all
-//! machines, jobs or cancellations for every report or offer would make the total work grow with the square.
+//! machines, jobs or cancellations for every heartbeat or offer would make the total work grow with the square.
 
 #![warn(missing_docs)]
 
--- a/crates/index/tests/index.rs
+++ b/crates/index/tests/index.rs
@@ -72,7 +72,7 @@
     assert_eq!(map.held(), 2, "b went with the sweep");
 }
 
-// Guards against a sweep of all entries for every report once a bound on their number is reached.
+// Guards against a sweep of all entries for every heartbeat once a bound on their number is reached.
 #[test]
 fn a_fleet_that_reports_again_and_again_keeps_one_entry_a_machine() {
     let mut map = ExpiringMap::new(12_000);
@@ -121,7 +121,7 @@
         if kind == 0 || slot % 2 == 1 {
             [free[slot]]
         } else {
-            Index::NOTHING
+            Index::ABSENT_KEY
         }
     };
     let mut index = Index::new(slots);
--- a/crates/load/src/measure.rs
+++ b/crates/load/src/measure.rs
@@ -7,7 +7,7 @@
 
 /// What the stand-ins record.
 pub struct Recorder {
-    /// Microseconds from a report to its answer.
+    /// Microseconds from a heartbeat to its answer.
     answers: Histogram<u64>,
     /// Requests to the state service.
     pub state_requests: u64,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// A report was answered after this time.
+    /// A heartbeat was answered after this time.
     pub fn report(&mut self, took: Duration) {
         self.answers.saturating_record(took.as_micros() as u64);
     }
--- a/crates/load/src/site.rs
+++ b/crates/load/src/site.rs
@@ -8,7 +8,7 @@
 use event_listener::Event;
 use futures_lite::FutureExt;
 use http_types::Method;
-use ravenhead::http::{Call, Client, Reply, serve};
+use ravenhead::http::{Client, HttpRequest, HttpResponse, serve};
 use ravenhead::net::Listener;
 use ravenhead::units::Micros;
 use ravenhead_stand_ins::keys::{Keys, query_field};
@@ -197,7 +197,7 @@
         Measurement::new(version, self.0.workers, seconds, &recorder, began, ended)
     }
 
-    async fn answer_state(&self, call: &Call) -> Reply {
+    async fn answer_state(&self, call: &HttpRequest) -> HttpResponse {
         let site = &self.0;
         site.recorder.borrow_mut().state_requests += 1;
         let path: Vec<&str> = call.path.trim_matches('/').split('/').collect();
@@ -213,9 +213,9 @@
             (Method::Post, ["holds"]) => {
                 let mut keys = site.keys.borrow_mut();
                 keys.leases += 1;
-                Reply::json(200, &json!({ "tenure": keys.leases }))
+                HttpResponse::json(200, &json!({ "tenure": keys.leases }))
             }
-            (Method::Post, _) => Reply::json(200, &json!({})),
+            (Method::Post, _) => HttpResponse::json(200, &json!({})),
             (Method::Delete, ["holds", lease]) => {
                 let reply = site.keys.borrow_mut().end(lease.parse().unwrap_or(0));
                 site.keys_changed.notify(usize::MAX);
@@ -227,11 +227,11 @@
                 let key = call.path.trim_start_matches("/keys/");
                 site.keys.borrow().get(key)
             }
-            _ => Reply::error(400, "odd"),
+            _ => HttpResponse::error(400, "odd"),
         }
     }
 
-    async fn watch(&self, call: &Call) -> Reply {
+    async fn watch(&self, call: &HttpRequest) -> HttpResponse {
         let number = |name| query_field(&call.query, name).and_then(|v| v.parse::<u64>().ok());
         let since = number("from").unwrap_or(0);
         let changed = self.0.keys_changed.listen();
@@ -244,24 +244,24 @@
         }
         let keys = self.0.keys.borrow();
         let news: Vec<&Value> = keys.news_since(since).collect();
-        Reply::json(200, &json!({"epoch": keys.epoch, "news": news}))
+        HttpResponse::json(200, &json!({"epoch": keys.epoch, "news": news}))
     }
 
-    fn answer_cloud(&self, call: &Call) -> Reply {
+    fn answer_cloud(&self, call: &HttpRequest) -> HttpResponse {
         match (call.method, call.path.as_str()) {
-            (Method::Get, "/flavors") => Reply::json(
+            (Method::Get, "/flavors") => HttpResponse::json(
                 200,
                 &json!({"rigs": [{"label": "g4", "cores": 16.0, "cards": CARDS as f64, "ramGb": 64.0,
                     "localGb": 100.0, "fetchGbPerS": 1.0, "rate": 6.0, "lowPrice": 2.0, "bootS": 10.0,
                     "yards": ["a", "b"]}]}),
             ),
             (Method::Get, "/hosts") => self.list_machines(&call.query),
-            (Method::Post, "/hosts") => Reply::error(503, "no capacity"),
-            _ => Reply::json(200, &json!({})),
+            (Method::Post, "/hosts") => HttpResponse::error(503, "no capacity"),
+            _ => HttpResponse::json(200, &json!({})),
         }
     }
 
-    fn list_machines(&self, query: &str) -> Reply {
+    fn list_machines(&self, query: &str) -> HttpResponse {
         let page = query_field(query, "page").and_then(|p| p.parse().ok());
         let page: usize = page.unwrap_or(500);
         let from = query_field(query, "from").unwrap_or_default();
@@ -274,7 +274,7 @@
                     "loaners": true, "status": "running", "ageS": 600.0})
             })
             .collect();
-        Reply::json(200, &json!({"hosts": hosts, "more": end < self.0.workers}))
+        HttpResponse::json(200, &json!({"hosts": hosts, "more": end < self.0.workers}))
     }
 }
 
@@ -293,8 +293,8 @@
 
 async fn accept<F, Fut>(ex: Rc<LocalExecutor<'static>>, listener: Listener, answer: F)
 where
-    F: Fn(Call) -> Fut + Clone + 'static,
-    Fut: Future<Output = Reply> + 'static,
+    F: Fn(HttpRequest) -> Fut + Clone + 'static,
+    Fut: Future<Output = HttpResponse> + 'static,
 {
     while let Ok(stream) = listener.accept().await {
         let answer = answer.clone();
--- a/crates/load/src/worker.rs
+++ b/crates/load/src/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in worker: reports, executes orders, and lets tasks of arrays end after their time.
+//! A stand-in worker: reports, executes commands, and lets tasks of arrays end after their time.
 
 use crate::site::{TASK_S, is_service};
 use async_io::Timer;
@@ -10,10 +10,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Seconds between two reports.
+/// Seconds between two heartbeats.
 pub const REPORT_S: f64 = 2.0;
 /// How long a worker waits for an answer.
-const ANSWER_WITHIN: Micros = Micros::secs(4);
+const RESPONSE_TIMEOUT: Micros = Micros::secs(4);
 
 /// The name of the machine with this number.
 pub fn name(number: usize) -> String {
@@ -98,7 +98,7 @@
     loop {
         let body = Some(worker.report().to_string().into_bytes());
         let sent = Instant::now();
-        let answer = client.call(Method::Post, "/checkin", body, ANSWER_WITHIN);
+        let answer = client.call(Method::Post, "/checkin", body, RESPONSE_TIMEOUT);
         match answer.await {
             Ok((200, bytes)) => {
                 answered(sent.elapsed());
--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -35,7 +35,7 @@
     pub stopped: u64,
 }
 
-/// A recovery that is over.
+/// A recovery that has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Summary {
     /// Recorded tasks at its beginning.
@@ -46,7 +46,7 @@
     pub took: u64,
 }
 
-/// The recorded tasks that no report, and no return of their machine, has confirmed yet.
+/// The recorded tasks that no heartbeat, and no return of their machine, has confirmed yet.
 ///
 /// A task whose worker has not reported is unconfirmed, which is neither agreement nor disagreement.
 #[derive(Debug, Default)]
@@ -95,7 +95,7 @@
         *count += 1;
     }
 
-    /// A task without a record was found. Only what is found before the recovery is over counts.
+    /// A task without a record was found. Only what is found before the recovery has ended counts.
     pub fn found(&mut self, verdict: crate::UnrecordedVerdict) {
         if self.is_told {
             return;
@@ -113,7 +113,7 @@
         self.left
     }
 
-    /// Whether the recovery is not over, or its summary was not taken yet.
+    /// Whether the recovery is not ended, or its summary was not taken yet.
     pub fn is_under_way(&self) -> bool {
         !self.is_told
     }
--- a/crates/recovery/src/reconcile.rs
+++ b/crates/recovery/src/reconcile.rs
@@ -1,19 +1,19 @@
-//! One task at a time: what a worker's report says of it, against what is recorded.
+//! One task at a time: what a worker's heartbeat says of it, against what is recorded.
 
-/// Where a report stands among the messages of its machine; the larger is the newer.
+/// Where a heartbeat stands among the messages of its machine; the larger is the newer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Position {
-    /// The worker's session, which a lease that ran out ends.
-    pub session: u64,
-    /// Rises with every message of a session.
+pub struct HeartbeatPosition {
+    /// The worker's agent epoch, which a lease that ran out ends.
+    pub agent_epoch: u64,
+    /// Rises with every message of a agent epoch.
     pub sequence: u64,
 }
 
-/// What a report proves beyond its list of tasks.
+/// What a heartbeat proves beyond its list of tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReportContext {
+pub struct HeartbeatContext {
     /// Where it stands among its machine's messages.
-    pub position: Position,
+    pub position: HeartbeatPosition,
     /// Whether its worker has seen this leader's token, so that it drops the answers of earlier leaders.
     pub shows_token: bool,
     /// Whether the worker seems to get this leader's answers.
@@ -23,12 +23,12 @@
 /// Which leader a recorded placement is from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
-    /// An earlier one's: the order to start it may still be on its way.
+    /// An earlier one's: the command to start it may still be on its way.
     EarlierLeader,
-    /// This one's; the report whose answer carried the order to start it, if one did.
+    /// This one's; the heartbeat whose answer carried the command to start it, if one did.
     ThisLeader {
         /// That report's position.
-        ordered_at: Option<Position>,
+        ordered_at: Option<HeartbeatPosition>,
     },
 }
 
@@ -37,7 +37,7 @@
 pub struct RecordedTask {
     /// Which leader placed it.
     pub origin: Origin,
-    /// Whether a report showed it there since this leader leads.
+    /// Whether a heartbeat showed it there since this leader leads.
     pub was_reported: bool,
     /// Whether it is being stopped.
     pub is_stopping: bool,
@@ -45,7 +45,7 @@
     pub is_wanted: bool,
 }
 
-/// A task's state in a report.
+/// A task's state in a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedState {
     /// On the machine, in whatever state before its end.
@@ -56,10 +56,10 @@
     Ended,
 }
 
-/// What a report means for a task that is recorded on its machine.
+/// What a heartbeat means for a task that is recorded on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordedVerdict {
-    /// Both agree: it stays, and no order is sent.
+    /// Both agree: it stays, and no command is sent.
     Agrees,
     /// It ended: the end is to be written, then the worker may forget it.
     Ended {
@@ -68,17 +68,17 @@
     },
     /// Not reported, and nothing proves that it can't still appear: it is neither given up nor offered again.
     Unconfirmed,
-    /// The order to start it was lost: the same attempt may be ordered again.
+    /// The command to start it was lost: the same attempt may be ordered again.
     OrderLost,
     /// Proven to be off the machine: it may be offered again.
     Gone,
 }
 
-/// Compares a task that is recorded on the reporting machine with its state in the report, if it is in there.
+/// Compares a task that is recorded on the reporting machine with its state in the heartbeat, if it is in there.
 pub fn reconcile_recorded(
     recorded: &RecordedTask,
     reported: Option<ReportedState>,
-    report: &ReportContext,
+    report: &HeartbeatContext,
 ) -> RecordedVerdict {
     match reported {
         Some(ReportedState::Active) => return RecordedVerdict::Agrees,
@@ -86,9 +86,9 @@
         Some(ReportedState::Ended) => return RecordedVerdict::Ended { completed: false },
         None => {}
     }
-    // Absence proves that a task is off its machine only if no order to start it can still arrive: an earlier leader's
-    // until the worker has seen this leader's token, this leader's until a report that is newer than the one whose answer
-    // carried the order.
+    // Absence proves that a task is off its machine only if no command to start it can still arrive: an earlier leader's
+    // until the worker has seen this leader's token, this leader's until a heartbeat that is newer than the one whose answer
+    // carried the command.
     let is_proven = match recorded.origin {
         Origin::EarlierLeader => report.shows_token,
         Origin::ThisLeader { ordered_at } => ordered_at.is_some_and(|at| report.position > at),
@@ -132,7 +132,7 @@
     pub is_newer: bool,
 }
 
-/// What a report means for a task that is not recorded on its machine.
+/// What a heartbeat means for a task that is not recorded on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnrecordedVerdict {
     /// It completed and that was never written: the finish counts, whichever attempt it was.
@@ -146,7 +146,7 @@
     OtherAttempt,
     /// Its result is recorded already: stopped.
     AlreadyFinished,
-    /// Its job is over or cancelled: stopped.
+    /// Its job has ended or cancelled: stopped.
     JobOver,
     /// Nothing is known of its job, or the job has no such task: stopped.
     Unknown,
--- a/crates/recovery/tests/recovery.rs
+++ b/crates/recovery/tests/recovery.rs
@@ -1,27 +1,27 @@
 //! Every combination of record and report that a new leader may meet, and the verdict on it.
 
 use ravenhead_recovery::{
-    Counts, JobState, Origin, Position, Progress, RecordedTask, RecordedVerdict, ReportContext,
-    ReportedState, Resolution, UnrecordedTask, UnrecordedVerdict, reconcile_recorded,
-    reconcile_unrecorded,
+    Counts, HeartbeatContext, HeartbeatPosition, JobState, Origin, Progress, RecordedTask,
+    RecordedVerdict, ReportedState, Resolution, UnrecordedTask, UnrecordedVerdict,
+    reconcile_recorded, reconcile_unrecorded,
 };
 
-const AT: Position = Position {
-    session: 2,
+const AT: HeartbeatPosition = HeartbeatPosition {
+    agent_epoch: 2,
     sequence: 7,
 };
-const BEFORE: Position = Position {
-    session: 2,
+const BEFORE: HeartbeatPosition = HeartbeatPosition {
+    agent_epoch: 2,
     sequence: 6,
 };
-/// The sequence begins anew with a session.
-const NEXT_SESSION: Position = Position {
-    session: 3,
+/// The sequence begins anew with a agent epoch.
+const NEXT_SESSION: HeartbeatPosition = HeartbeatPosition {
+    agent_epoch: 3,
     sequence: 1,
 };
 
-fn report(position: Position, shows_token: bool) -> ReportContext {
-    ReportContext {
+fn report(position: HeartbeatPosition, shows_token: bool) -> HeartbeatContext {
+    HeartbeatContext {
         position,
         shows_token,
         answers_arrive: true,
@@ -37,7 +37,7 @@
     }
 }
 
-fn ordered_at(position: Position) -> Origin {
+fn ordered_at(position: HeartbeatPosition) -> Origin {
     Origin::ThisLeader {
         ordered_at: Some(position),
     }
@@ -63,7 +63,7 @@
     }
 }
 
-// Guards against a task that starts in two places: the order of the leader before may arrive after this report.
+// Guards against a task that starts in two places: the command of the leader before may arrive after this heartbeat.
 #[test]
 fn an_earlier_leaders_task_is_gone_only_once_the_worker_drops_that_leaders_answers() {
     let inherited = recorded(Origin::EarlierLeader);
@@ -94,7 +94,7 @@
 fn a_lost_order_goes_out_again_unless_nobody_wants_it_or_answers_do_not_arrive() {
     let task = recorded(ordered_at(BEFORE));
     let verdict =
-        |task: RecordedTask, context: ReportContext| reconcile_recorded(&task, None, &context);
+        |task: RecordedTask, context: HeartbeatContext| reconcile_recorded(&task, None, &context);
     let context = report(AT, true);
     assert_eq!(verdict(task, context), RecordedVerdict::OrderLost);
     let stopping = RecordedTask {
@@ -112,7 +112,7 @@
     for other in [stopping, unwanted, reported] {
         assert_eq!(verdict(other, context), RecordedVerdict::Gone);
     }
-    let mute = ReportContext {
+    let mute = HeartbeatContext {
         answers_arrive: false,
         ..context
     };
--- a/crates/stand-ins/src/keys.rs
+++ b/crates/stand-ins/src/keys.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the state service: its keys and leases by the published protocol, and how it fails.
 
 use http_types::Method;
-use ravenhead::http::{Call, Reply};
+use ravenhead::http::{HttpRequest, HttpResponse};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -45,7 +45,7 @@
     pub late: Option<Vec<Value>>,
     /// How many transactions were asked for.
     pub asked: usize,
-    /// Leases that are over.
+    /// Leases that have ended.
     pub ended: BTreeSet<u64>,
 }
 
@@ -63,7 +63,7 @@
 
 impl Keys {
     /// Applies a transaction if its conditions hold.
-    pub fn txn(&mut self, body: &Value) -> Reply {
+    pub fn txn(&mut self, body: &Value) -> HttpResponse {
         let stamp = |keys: &Keys, k: &str| keys.keys.get(k).map_or(0, |(_, s)| *s);
         let when = body["when"].as_array().cloned().unwrap_or_default();
         let failed: Vec<&str> = when
@@ -72,7 +72,7 @@
             .map(|c| c["k"].as_str().unwrap())
             .collect();
         if !failed.is_empty() {
-            return Reply::json(409, &json!({"failed": failed, "epoch": self.epoch}));
+            return HttpResponse::json(409, &json!({"failed": failed, "epoch": self.epoch}));
         }
         let mut writes = body["writes"].as_array().unwrap().iter();
         if writes.any(|w| {
@@ -80,7 +80,7 @@
                 .as_u64()
                 .is_some_and(|l| self.ended.contains(&l))
         }) {
-            return Reply::error(400, "no such lease");
+            return HttpResponse::error(400, "no such lease");
         }
         self.epoch += 1;
         for write in body["writes"].as_array().unwrap() {
@@ -97,7 +97,7 @@
             }
             self.news.push((self.epoch, event));
         }
-        Reply::json(200, &json!({"epoch": self.epoch}))
+        HttpResponse::json(200, &json!({"epoch": self.epoch}))
     }
 
     /// Everything is lost: keys, leases and revisions.
@@ -139,7 +139,7 @@
     }
 
     /// Carries a transaction out, or puts it aside in favour of one that was put aside before.
-    pub fn take(&mut self, body: Value) -> Reply {
+    pub fn take(&mut self, body: Value) -> HttpResponse {
         self.asked += 1;
         let asked = self.asked;
         let Some(late) = &mut self.late else {
@@ -153,11 +153,11 @@
             let oldest = late.remove(0);
             self.txn(&oldest);
         }
-        Reply::error(500, "lost")
+        HttpResponse::error(500, "lost")
     }
 
     /// A lease ends, and what hangs on it goes.
-    pub fn end(&mut self, lease: u64) -> Reply {
+    pub fn end(&mut self, lease: u64) -> HttpResponse {
         self.ended.insert(lease);
         let hang = self.hanging.iter().filter(|(_, l)| **l == lease);
         let keys: Vec<String> = hang.map(|(k, _)| k.clone()).collect();
@@ -168,11 +168,11 @@
             let gone = json!({"delete": key, "stamp": self.epoch});
             self.news.push((self.epoch, gone));
         }
-        Reply::json(200, &json!({}))
+        HttpResponse::json(200, &json!({}))
     }
 
     /// A page of the keys with a prefix, as the query of a request asks for it.
-    pub fn list(&self, query: &str) -> Reply {
+    pub fn list(&self, query: &str) -> HttpResponse {
         let field = |name: &str| query_field(query, name);
         let prefix = field("prefix").unwrap_or_default();
         let from = field("from").unwrap_or_default().to_owned();
@@ -189,7 +189,7 @@
             .map(|(k, (data, stamp))| json!({"k": k, "data": data, "stamp": stamp}))
             .collect();
         let more = with_prefix.next().is_some();
-        Reply::json(
+        HttpResponse::json(
             200,
             &json!({"items": items, "more": more, "epoch": self.epoch}),
         )
@@ -202,26 +202,26 @@
     }
 
     /// One key, or the present revision where it does not exist.
-    pub fn get(&self, key: &str) -> Reply {
+    pub fn get(&self, key: &str) -> HttpResponse {
         match self.keys.get(key) {
             Some((data, stamp)) => {
-                Reply::json(200, &json!({"k": key, "data": data, "stamp": stamp}))
+                HttpResponse::json(200, &json!({"k": key, "data": data, "stamp": stamp}))
             }
-            None => Reply::json(404, &json!({"epoch": self.epoch})),
+            None => HttpResponse::json(404, &json!({"epoch": self.epoch})),
         }
     }
 }
 
 /// The stand-in answers a watch at once with all that it has: what was seen already is harmless.
-pub fn answer(keys: &RefCell<Keys>, call: &Call) -> Reply {
+pub fn answer(keys: &RefCell<Keys>, call: &HttpRequest) -> HttpResponse {
     let mut keys = keys.borrow_mut();
     let watched = call.path == "/watch";
     match keys.trouble {
-        Some(Trouble::Down) => return Reply::error(503, "trouble"),
-        Some(Trouble::Throttled) => return Reply::error(429, "too many"),
-        Some(Trouble::Lost) => return Reply::error(500, "lost"),
-        Some(Trouble::Garbled) => return Reply::json(200, &json!({"odd": [1]})),
-        Some(Trouble::Forgetful) if watched => return Reply::error(410, "too old"),
+        Some(Trouble::Down) => return HttpResponse::error(503, "trouble"),
+        Some(Trouble::Throttled) => return HttpResponse::error(429, "too many"),
+        Some(Trouble::Lost) => return HttpResponse::error(500, "lost"),
+        Some(Trouble::Garbled) => return HttpResponse::json(200, &json!({"odd": [1]})),
+        Some(Trouble::Forgetful) if watched => return HttpResponse::error(410, "too old"),
         Some(Trouble::Forgetful) | None => {}
     }
     match (call.method, call.path.as_str()) {
@@ -231,25 +231,25 @@
                 return reply;
             }
             keys.losing -= 1;
-            Reply::error(500, "lost")
+            HttpResponse::error(500, "lost")
         }
         (Method::Post, "/holds") => {
             keys.leases += 1;
-            Reply::json(200, &json!({"tenure": keys.leases}))
+            HttpResponse::json(200, &json!({"tenure": keys.leases}))
         }
         (Method::Delete, path) => {
             let lease = path.trim_start_matches("/holds/").parse().unwrap();
             keys.end(lease)
         }
-        (Method::Post, _) => Reply::json(200, &json!({})),
+        (Method::Post, _) => HttpResponse::json(200, &json!({})),
         (Method::Get, "/keys") => keys.list(&call.query),
         (Method::Get, "/watch") => {
             let last = keys.held_at.unwrap_or(keys.epoch);
             let told = keys.news.iter().filter(|(epoch, _)| *epoch <= last);
             let news: Vec<&Value> = told.map(|(_, n)| n).collect();
-            Reply::json(200, &json!({"epoch": last, "news": news}))
+            HttpResponse::json(200, &json!({"epoch": last, "news": news}))
         }
         (Method::Get, path) => keys.get(path.trim_start_matches("/keys/")),
-        _ => Reply::error(400, "odd"),
+        _ => HttpResponse::error(400, "odd"),
     }
 }
--- a/src/cancellations/tests.rs
+++ b/src/cancellation/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::scheduler::ReportedTask;
+use crate::scheduler::TaskStatus;
 
 fn machine(n: usize) -> MachineId {
     MachineId(format!("m-{n:06}"))
@@ -13,21 +13,21 @@
     }
 }
 
-/// A report of a machine that holds tasks of these jobs.
-fn report(n: usize, seq: u64, jobs: &[&str]) -> Report {
-    let running = |job: &&str| ReportedTask {
+/// A heartbeat of a machine that holds tasks of these jobs.
+fn report(n: usize, sequence: u64, jobs: &[&str]) -> Heartbeat {
+    let running = |job: &&str| TaskStatus {
         task: format!("{job}/0"),
         attempt: 1,
         state: TaskState::Running,
         cause: None,
     };
-    Report {
+    Heartbeat {
         machine: machine(n),
         machine_type: "rig".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
-        seq,
+        agent_epoch: 1,
+        sequence,
         token: 1,
         notice_s: None,
         tasks: jobs.iter().map(running).collect(),
@@ -40,9 +40,9 @@
 // Guards against finds beyond a message's bound that were never told, so that machines went back for nothing.
 #[test]
 fn what_is_found_gone_on_a_large_fleet_is_told_in_several_messages_and_once() {
-    let machines = 2 * MOST_GONE + 10;
+    let machines = 2 * MAX_CLEARED_PER_MESSAGE + 10;
     let mut c = Cancellations::default();
-    let mut told = c.gone_from_now();
+    let mut told = c.residue_cleared_cursor();
     c.note(&cancellation(1, 0..machines));
     for n in 0..machines {
         c.on_report(&report(n, 1, &[]), LATER);
@@ -52,18 +52,21 @@
     other.note(&cancellation(1, 0..machines));
     let mut messages = 0;
     loop {
-        let (gone, next) = c.gone_since(told);
+        let (gone, next) = c.residue_cleared_since(told);
         if gone.is_empty() {
             break;
         }
-        assert!(gone.len() <= MOST_GONE);
-        other.note_gone(&gone, LATER);
+        assert!(gone.len() <= MAX_CLEARED_PER_MESSAGE);
+        other.on_residue_cleared(&gone, LATER);
         told = next;
         messages += 1;
     }
     assert_eq!(messages, 3);
     assert_eq!(other.overdue(LATER, Micros::secs(1)), vec![]);
-    assert!(other.left_on.is_empty(), "nothing is kept of what is gone");
+    assert!(
+        other.residue_by_machine.is_empty(),
+        "nothing is kept of what is gone"
+    );
 }
 
 #[test]
@@ -71,9 +74,9 @@
     let mut c = Cancellations::default();
     c.note(&cancellation(1, 0..3));
     c.note(&cancellation(2, 1..2));
-    for seq in 1..=3 {
-        c.on_report(&report(0, seq, &["j-000001"]), LATER);
-        c.on_report(&report(1, seq, &["j-000002", "j-000003"]), LATER);
+    for sequence in 1..=3 {
+        c.on_report(&report(0, sequence, &["j-000001"]), LATER);
+        c.on_report(&report(1, sequence, &["j-000002", "j-000003"]), LATER);
     }
     let left = c.overdue(LATER, Micros::secs(1));
     let left: Vec<(&str, &str)> = left
@@ -87,7 +90,7 @@
     ];
     assert_eq!(left, expected, "one holds it, one was not heard");
     c.forget(LATER * 10, Micros::secs(1));
-    assert!(c.left_on.is_empty() && !c.knows(&JobId("j-000001".into())));
+    assert!(c.residue_by_machine.is_empty() && !c.knows(&JobId("j-000001".into())));
 }
 
 // Guards against a message that is too long for a frame, and against one that leaves out a cancellation for ever.
@@ -100,14 +103,17 @@
     c.note(&cancellation(300, 0..50_000));
     let mut told = 0;
     loop {
-        let untold = c.untold("n-1");
-        if untold.is_empty() {
+        let unacknowledged = c.unacknowledged("n-1");
+        if unacknowledged.is_empty() {
             break;
         }
-        let bytes: usize = untold.iter().map(Cancellation::bytes).sum();
-        assert!(bytes <= MOST_BYTES || untold.len() == 1, "{bytes} bytes");
-        told += untold.len();
-        c.was_told("n-1", 1, &untold);
+        let bytes: usize = unacknowledged.iter().map(Cancellation::bytes).sum();
+        assert!(
+            bytes <= MAX_CANCELLATION_BYTES || unacknowledged.len() == 1,
+            "{bytes} bytes"
+        );
+        told += unacknowledged.len();
+        c.acknowledge("n-1", 1, &unacknowledged);
     }
     assert_eq!(told, 301);
 }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -27,7 +27,7 @@
 }
 
 /// Lets this thread live by another time.
-pub fn live_by(time: Option<Rc<dyn Time>>) {
+pub fn use_time_source(time: Option<Rc<dyn Time>>) {
     OTHER.set(time);
 }
 
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud's client: machine types, machine list, rentals and returns.
+//! The cloud's client: machine types, machine list, provisioning requests and returns.
 
 use crate::clock::sleep;
 use crate::http::{Client, HttpError};
@@ -10,14 +10,14 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-const CALL_WITHIN: Micros = Micros::secs(4);
+const CALL_TIMEOUT: Micros = Micros::secs(4);
 const PAGE: usize = 500;
 /// How often a page that was refused is asked for.
 const PAGE_TRIES: usize = 4;
-/// The most machines one rental may ask for.
-pub const MAX_RENT: usize = 50;
+/// The most machines one provisioning request may ask for.
+pub const MAX_MACHINES_PER_PROVISIONING: usize = 50;
 /// The most machines one return may name.
-pub const MAX_RETURN: usize = 100;
+pub const MAX_MACHINES_PER_TERMINATION: usize = 100;
 
 /// Why the cloud did not do what was asked.
 #[derive(Debug, Error)]
@@ -68,7 +68,7 @@
     pub spot: bool,
     /// Its state.
     pub status: ListedStatus,
-    /// Time since the rental request.
+    /// Time since the provisioning request.
     #[serde(rename = "ageS")]
     pub age_s: f64,
 }
@@ -91,9 +91,9 @@
     hosts: Vec<MachineId>,
 }
 
-/// What to rent, under a name that is never used for anything else. It is stored with the names that it is sent with.
+/// What to provision, under a name that is never used for anything else. It is stored with the names that it is sent with.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, Deserialize)]
-pub struct Rental {
+pub struct ProvisioningRequest {
     /// The name of the request.
     #[serde(rename = "charter")]
     pub request_name: String,
@@ -111,7 +111,7 @@
 /// The cloud as one controller sees it.
 pub struct Cloud {
     client: Client,
-    /// Time between two pages of the machine list, so that listing a large fleet leaves half of the requests to rentals
+    /// Time between two pages of the machine list, so that listing a large fleet leaves half of the requests to provisioning requests
     /// and returns.
     between_pages: Micros,
 }
@@ -132,7 +132,7 @@
         body: Option<serde_json::Value>,
     ) -> Result<T, CloudError> {
         let body = body.map(|b| b.to_string().into_bytes());
-        let answer = self.client.call(method, path, body, CALL_WITHIN).await;
+        let answer = self.client.call(method, path, body, CALL_TIMEOUT).await;
         let (status, bytes) = answer.map_err(|e| {
             self.client.forget_idle();
             match e {
@@ -192,16 +192,16 @@
         }
     }
 
-    /// Rents machines; the same request may be repeated and rents once.
-    pub async fn rent(&self, r: &Rental) -> Result<Vec<MachineId>, CloudError> {
+    /// Provisions machines; the same request may be repeated and rents once.
+    pub async fn provision(&self, r: &ProvisioningRequest) -> Result<Vec<MachineId>, CloudError> {
         let body = json!({"charter": r.request_name, "rig": r.machine_type, "yard": r.zone,
             "loaners": r.spot, "howMany": r.count});
         let rented: Rented = self.call(Method::Post, "/hosts", Some(body)).await?;
         Ok(rented.hosts)
     }
 
-    /// Gives machines back; once this succeeds they are gone with everything on them.
-    pub async fn give_back(&self, machines: &[MachineId]) -> Result<(), CloudError> {
+    /// Terminates machines; once this succeeds they are gone with everything on them.
+    pub async fn terminate(&self, machines: &[MachineId]) -> Result<(), CloudError> {
         let body = json!({ "hosts": machines });
         let _: serde_json::Value = self.call(Method::Post, "/hosts/return", Some(body)).await?;
         Ok(())
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,7 +1,7 @@
 //! The platform's settings file (TOML) and the operators' own settings (XML), checked before anything starts.
 
-use crate::cloud::MAX_RENT;
-use crate::scheduler::{SchedulerConfig, TeamShare};
+use crate::cloud::MAX_MACHINES_PER_PROVISIONING;
+use crate::scheduler::{SchedulerConfig, TeamQuota};
 use crate::units::Micros;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -19,18 +19,18 @@
 }
 
 /// Sockets without which a controller can't serve: some for users and workers, the state service and the cloud.
-const LEAST_SOCKETS: usize = 16;
+const MIN_SOCKETS: usize = 16;
 /// Sockets that each other controller takes besides: its own connections to this one and this one's to it.
 const SOCKETS_PER_MEMBER: usize = 16;
 /// Idle connections that are always kept to another controller.
-const LEAST_KEPT_CONNECTIONS: usize = 8;
+const MIN_IDLE_CONNECTIONS: usize = 8;
 
 /// Memory that an accepted job of a few tasks takes, in the cached view and at the leader.
 const JOB_KB: f64 = 4.0;
 /// It is told where the memory holds fewer jobs than this.
 const FEW_JOBS: usize = 1_000;
 /// So many jobs are accepted whatever the memory.
-const LEAST_ADMISSION_CAP: usize = 50;
+const MIN_ADMISSION_CAP: usize = 50;
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
@@ -86,7 +86,7 @@
 /// The times that workers keep to.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
-    /// Interval of reports.
+    /// Interval of heartbeats.
     pub report_s: f64,
     /// How long a worker lives without an answer.
     pub lease_s: f64,
@@ -247,7 +247,7 @@
         if f.state.value_kb < 2.0 {
             return Err(("facts.state.value_kb", "must be at least 2"));
         }
-        let least_sockets = LEAST_SOCKETS + SOCKETS_PER_MEMBER * self.members.len();
+        let least_sockets = MIN_SOCKETS + SOCKETS_PER_MEMBER * self.members.len();
         if f.machine_limits.max_sockets < least_sockets {
             return Err((
                 "facts.machine_limits.max_sockets",
@@ -271,7 +271,7 @@
     pub fn warnings(&self) -> Vec<String> {
         let f = &self.facts;
         let mut warnings = Vec::new();
-        // A report, four seconds for an answer that does not come, one until the next controller is tried, and its answer.
+        // A heartbeat, four seconds for an answer that does not come, one until the next controller is tried, and its answer.
         let one_miss_s = f.workers.report_s * 1.25 + 4.0 + 1.0 + 1.0;
         if f.workers.lease_s < one_miss_s {
             warnings.push(format!(
@@ -291,20 +291,20 @@
     }
 
     /// The teams' guarantees and limits.
-    pub fn teams(&self) -> BTreeMap<String, TeamShare> {
-        let share = |t: &Team| TeamShare::new(t.cpus, t.cpus_max, t.gpus, t.gpus_max);
+    pub fn teams(&self) -> BTreeMap<String, TeamQuota> {
+        let share = |t: &Team| TeamQuota::new(t.cpus, t.cpus_max, t.gpus, t.gpus_max);
         let teams = self.facts.teams.iter();
         teams.map(|t| (t.name.clone(), share(t))).collect()
     }
 
-    /// Idle connections kept to each other controller: a sixteenth of the sockets for all of them together, as the reports
+    /// Idle connections kept to each other controller: a sixteenth of the sockets for all of them together, as the heartbeats
     /// of thousands of workers wait for the leader side by side.
     pub fn kept_connections(&self) -> usize {
         let all = self.facts.machine_limits.max_sockets / 16;
-        (all / self.members.len().max(1)).max(LEAST_KEPT_CONNECTIONS)
+        (all / self.members.len().max(1)).max(MIN_IDLE_CONNECTIONS)
     }
 
-    /// The interval of reports.
+    /// The interval of heartbeats.
     pub fn report(&self) -> Micros {
         Micros::from_secs_f64(self.facts.workers.report_s)
     }
@@ -321,12 +321,12 @@
     pub idle_s: Option<u64>,
     /// Free places kept for classes that can't wait for a boot.
     pub reserve: Option<u32>,
-    /// Most jobs that are accepted and not over.
+    /// Most jobs that are accepted and not ended.
     pub admission_cap: Option<usize>,
-    /// Most offers in one round; beyond, samples of machines are asked.
-    pub offers_per_round: Option<usize>,
-    /// Most machines rented in one round.
-    pub rent_per_round: Option<usize>,
+    /// Most offers in one scheduling cycle; beyond, samples of machines are asked.
+    pub max_offers_per_cycle: Option<usize>,
+    /// Most machines provisioned in one scheduling cycle.
+    pub max_scale_out_per_cycle: Option<usize>,
     /// Life of the leader's lease.
     pub leader_lease_ms: Option<u64>,
     /// Whether a new leader tells how much it has confirmed of what it found recorded: 0 or 1.
@@ -390,8 +390,8 @@
             "idle-s" => self.idle_s = Some(number),
             "reserve" => self.reserve = u32::try_from(number).ok(),
             "admission-cap" => self.admission_cap = Some(size),
-            "offers-per-round" => self.offers_per_round = Some(size),
-            "rent-per-round" => self.rent_per_round = Some(size),
+            "offers-per-round" => self.max_offers_per_cycle = Some(size),
+            "rent-per-round" => self.max_scale_out_per_cycle = Some(size),
             "leader-lease-ms" => self.leader_lease_ms = Some(number),
             "recovery-report" => self.recovery_report = Some(number),
             "rebuild" => self.rebuild = Some(number),
@@ -399,12 +399,11 @@
         }
     }
 
-    /// Most jobs that are accepted and not over: as many as a quarter of the memory holds.
+    /// Most jobs that are accepted and not ended: as many as a quarter of the memory holds.
     pub fn admission_cap(&self, platform: &Platform) -> usize {
         let for_jobs_kb = platform.facts.machine_limits.ram_mb * 1024.0 / 4.0;
         let derived = (for_jobs_kb / JOB_KB) as usize;
-        self.admission_cap
-            .unwrap_or(derived.max(LEAST_ADMISSION_CAP))
+        self.admission_cap.unwrap_or(derived.max(MIN_ADMISSION_CAP))
     }
 
     /// Whether stored state that was lost is rebuilt.
@@ -421,17 +420,20 @@
     pub fn scheduler_config(&self, platform: &Platform) -> SchedulerConfig {
         let facts = &platform.facts;
         let aims = |kind: &'static str| facts.objectives.iter().filter(move |o| o.kind == kind);
-        // A round takes some microseconds for each offer; a fifth of a second of the processor's share is the most.
+        // A scheduling cycle takes some microseconds for each offer; a fifth of a second of the processor's share is the most.
         let offers = (facts.machine_limits.core_share * 200_000.0) as usize;
         // A quarter of a second's requests, of fifty machines each.
-        let rent_per_round = ((facts.cloud.rps * MAX_RENT as f64 / 4.0) as usize).max(24);
+        let max_scale_out_per_cycle =
+            ((facts.cloud.rps * MAX_MACHINES_PER_PROVISIONING as f64 / 4.0) as usize).max(24);
         SchedulerConfig {
             retry: Micros::millis(self.retry_ms.unwrap_or(400)),
             jitter: Micros::millis(self.jitter_ms.unwrap_or(100)),
             idle: self.idle_s.map(Micros::secs),
             reserve: self.reserve,
-            offers_per_round: self.offers_per_round.unwrap_or(offers.max(1_000)),
-            rent_per_round: self.rent_per_round.unwrap_or(rent_per_round),
+            max_offers_per_cycle: self.max_offers_per_cycle.unwrap_or(offers.max(1_000)),
+            max_scale_out_per_cycle: self
+                .max_scale_out_per_cycle
+                .unwrap_or(max_scale_out_per_cycle),
             recovery_report: self.recovery_report == Some(1),
             controllers: facts.size,
             report: platform.report(),
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -66,7 +66,7 @@
     let with = |from: &str, to: &str| PLATFORM.replace(from, to);
     let p = Platform::parse(PLATFORM).expect("fine settings");
     assert_eq!(p.warnings(), Vec::<String>::new());
-    let least = LEAST_SOCKETS + SOCKETS_PER_MEMBER * p.members.len();
+    let least = MIN_SOCKETS + SOCKETS_PER_MEMBER * p.members.len();
     let sockets = format!("max_sockets = {}", p.facts.machine_limits.max_sockets);
     assert!(Platform::parse(&with(&sockets, &format!("max_sockets = {least}"))).is_ok());
     let few = format!("max_sockets = {}", least - 1);
@@ -89,7 +89,7 @@
     assert_eq!(Settings::default().admission_cap(&p), 12_800);
     let large = Settings::parse(include_str!("../../deploy/large-fleet.xml")).expect("it is fine");
     assert_eq!(large.admission_cap(&p), 20_000);
-    assert_eq!(large.scheduler_config(&p).rent_per_round, 200);
+    assert_eq!(large.scheduler_config(&p).max_scale_out_per_cycle, 200);
     p.facts.machine_limits.max_sockets = 3_500;
     assert!(p.kept_connections() * p.members.len().max(1) <= 3_500 / 16);
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,19 +1,20 @@
 //! One controller: its parts, its connections and its long-lived duties.
 
-use crate::cancellations::{self, Cancellation, Cancellations};
+use crate::api::{users, workers};
+use crate::cancellation::{self, Cancellation, Cancellations};
 use crate::clock::{Clock, sleep};
 use crate::cloud::Cloud;
 use crate::config::{Member, Platform, Settings};
-use crate::election::{self, Leadership};
-use crate::http::{self, Call, Reply};
-use crate::leader::{self, Leading};
+use crate::election::{self, LeaderLease};
+use crate::http::{self, HttpRequest, HttpResponse};
+use crate::kv::KvClient;
+use crate::leader::{self, LeaderTerm};
 use crate::net::{Listener, Stream};
-use crate::peer::{self, Frame, Knowledge, Peer, Request};
-use crate::scheduler::{Controller, End, Final, JobId, Report, TeamShare};
-use crate::state::State;
-use crate::store::Store;
+use crate::peer::{self, ClusterStatus, Frame, Peer, PeerReply, PeerRequest};
+use crate::scheduler::{ControllerStatus, Heartbeat, JobEnd, JobId, JobOutcome, TeamQuota};
+use crate::state_loss;
+use crate::store::StateCache;
 use crate::units::Micros;
-use crate::{rebuild, users, workers};
 use async_executor::LocalExecutor;
 use futures_lite::FutureExt;
 use log::{debug, info, warn};
@@ -23,89 +24,89 @@
 use std::io;
 use std::rc::Rc;
 
-/// How often a controller looks whether it stood still.
-const PULSE_EVERY: Micros = Micros::millis(100);
+/// How often a controller looks whether it was paused.
+const PAUSE_CHECK_INTERVAL: Micros = Micros::millis(100);
 /// A look so late means that it did.
-const STOOD_STILL: Micros = Micros::secs(1);
+const PAUSE_THRESHOLD: Micros = Micros::secs(1);
 /// How often the other controllers are asked what they know.
-const PING_EVERY: Micros = Micros::secs(1);
+const PING_INTERVAL: Micros = Micros::secs(1);
 /// How long they may take.
-const PING_WITHIN: Micros = Micros::millis(900);
+const PING_TIMEOUT: Micros = Micros::millis(900);
 /// How long what another controller said of the state service counts.
-const WORD_LASTS: Micros = Micros::secs(4);
+const PEER_STATUS_VALIDITY: Micros = Micros::secs(4);
 
 /// A controller that did not answer for so long may be down.
-const LATELY: Micros = Micros::millis(2_200);
+const PEER_TIMEOUT: Micros = Micros::millis(2_200);
 
 /// The same trouble is told this often.
-const TELL_EVERY: Micros = Micros::secs(10);
+const LOG_INTERVAL: Micros = Micros::secs(10);
 
 /// After a failed ping reports are not passed on to a controller for so long.
-const AVOID_FOR: Micros = Micros::secs(2);
+const ROUTE_SUSPENSION: Micros = Micros::secs(2);
 
 mod contacts;
 
-use contacts::{Contacts, publish_contacts};
+use contacts::{ContactTracker, publish_contacts};
 
 /// What another controller said last.
 #[derive(Debug, Clone, Default)]
-struct Word {
-    known: Knowledge,
+struct PeerStatus {
+    cluster_status: ClusterStatus,
     at: Micros,
     /// Whether a ping failed since.
     failed: bool,
 }
 
 /// A controller.
-pub struct Node {
+pub struct Controller {
     /// The platform's settings.
     pub platform: Platform,
     /// The operators' settings.
     pub settings: Settings,
     /// The teams.
-    pub teams: BTreeMap<String, TeamShare>,
-    /// Most jobs that are accepted and not over.
+    pub teams: BTreeMap<String, TeamQuota>,
+    /// Most jobs that are accepted and not ended.
     pub admission_cap: usize,
     /// Drawn anew by every process.
     pub incarnation: u64,
     /// When this process began.
-    pub began: Micros,
+    pub started_at: Micros,
     /// The clock.
     pub clock: Clock,
     /// The state service.
-    pub state: Rc<State>,
+    pub state: Rc<KvClient>,
     /// The cached view.
-    pub store: Store,
+    pub store: StateCache,
     /// The cloud.
     pub cloud: Cloud,
     /// The other controllers.
     pub peers: Vec<Peer>,
-    leading: RefCell<Option<Rc<Leading>>>,
-    words: RefCell<BTreeMap<String, Word>>,
+    leading: RefCell<Option<Rc<LeaderTerm>>>,
+    peer_statuses: RefCell<BTreeMap<String, PeerStatus>>,
     token_seen: Cell<u64>,
-    misses_told: Cell<Micros>,
-    avoided: RefCell<BTreeMap<String, Micros>>,
-    contacts: Contacts,
+    partition_reported_at: Cell<Micros>,
+    suspended_routes: RefCell<BTreeMap<String, Micros>>,
+    contacts: ContactTracker,
     /// Cancellations, also those that the view need not show yet.
     pub cancellations: RefCell<Cancellations>,
     /// When the cloud last answered a question for a cancellation.
     pub cloud_answered: Cell<Micros>,
     connections: Cell<usize>,
     /// Whether it was told that sockets are short.
-    sockets_short: Cell<bool>,
+    socket_shortage_logged: Cell<bool>,
     /// When it was last told that submissions are refused.
-    told_of_admission: Cell<Micros>,
-    /// When it last looked whether it stood still.
-    pulse: Cell<Micros>,
+    admission_logged_at: Cell<Micros>,
+    /// When it last looked whether it was paused.
+    last_pause_check: Cell<Micros>,
 }
 
-impl Node {
+impl Controller {
     /// A controller that has not begun.
-    pub fn new(platform: Platform, settings: Settings) -> Node {
+    pub fn new(platform: Platform, settings: Settings) -> Controller {
         let clock = Clock;
         let limits = &platform.facts.state;
         let size = platform.facts.size as f64;
-        let state = Rc::new(State::new(
+        let state = Rc::new(KvClient::new(
             platform.external.state,
             limits.rps / size,
             limits.write_rps / size,
@@ -119,57 +120,57 @@
             .members
             .iter()
             .map(|m| Peer::new(m.node.clone(), m.address, kept));
-        Node {
+        Controller {
             teams: platform.teams(),
             admission_cap: settings.admission_cap(&platform),
             incarnation: fastrand::u64(..) >> 12,
-            began: clock.now(),
+            started_at: clock.now(),
             clock,
-            store: Store::new(state.clone(), clock, pause),
+            store: StateCache::new(state.clone(), clock, pause),
             state,
             cloud: Cloud::new(platform.external.cloud, platform.facts.cloud.rps),
             peers: peers.collect(),
             leading: RefCell::default(),
-            words: RefCell::default(),
+            peer_statuses: RefCell::default(),
             token_seen: Cell::new(0),
-            misses_told: Cell::new(Micros::ZERO),
-            avoided: RefCell::default(),
-            contacts: Contacts::new(platform.report(), lease),
+            partition_reported_at: Cell::new(Micros::ZERO),
+            suspended_routes: RefCell::default(),
+            contacts: ContactTracker::new(platform.report(), lease),
             cancellations: RefCell::default(),
             cloud_answered: Cell::new(Micros::ZERO),
             connections: Cell::new(0),
-            sockets_short: Cell::new(false),
-            told_of_admission: Cell::new(Micros::ZERO),
-            pulse: Cell::new(clock.now()),
+            socket_shortage_logged: Cell::new(false),
+            admission_logged_at: Cell::new(Micros::ZERO),
+            last_pause_check: Cell::new(clock.now()),
             platform,
             settings,
         }
     }
 
     /// The term that this controller leads, if it does.
-    pub fn leading(&self) -> Option<Rc<Leading>> {
+    pub fn leading(&self) -> Option<Rc<LeaderTerm>> {
         self.leading.borrow().clone()
     }
 
-    /// Looks whether this process stood still: then it heard nobody, whoever spoke.
-    pub fn look_for_standstill(&self, now: Micros) {
-        let gap = now.since(self.pulse.replace(now));
-        if gap <= STOOD_STILL {
+    /// Looks whether this process was paused: then it heard nobody, whoever spoke.
+    pub fn detect_pause(&self, now: Micros) {
+        let gap = now.since(self.last_pause_check.replace(now));
+        if gap <= PAUSE_THRESHOLD {
             return;
         }
-        info!("event=stood_still node={} for={gap}", self.platform.node);
+        info!("event=process_paused node={} for={gap}", self.platform.node);
         if let Some(leading) = self.leading() {
-            leading.scheduler.borrow_mut().stood_still(gap, now);
+            leading.scheduler.borrow_mut().on_process_pause(gap, now);
         }
     }
 
     /// What this controller knows of who leads: from its own term, its view and the other controllers.
-    pub fn known(&self) -> Knowledge {
-        let mut best = Knowledge {
+    pub fn cluster_status(&self) -> ClusterStatus {
+        let mut best = ClusterStatus {
             token: self.token_seen.get(),
             leader: None,
             state_reachable: self.store.reachable(),
-            misses_one: !self.all_answer(),
+            peer_unreachable: !self.all_reachable(),
             incarnation: self.incarnation,
             leads: self.leading.borrow().is_some(),
         };
@@ -187,67 +188,77 @@
         if let Some(leader) = &view.leader {
             consider(view.token(leader.version), Some(&leader.value.node));
         }
-        for word in self.words.borrow().values() {
-            consider(word.known.token, word.known.leader.as_deref());
+        for status in self.peer_statuses.borrow().values() {
+            consider(
+                status.cluster_status.token,
+                status.cluster_status.leader.as_deref(),
+            );
         }
         best
     }
 
     /// Takes in what another controller knows.
-    pub fn learn(&self, known: &Knowledge) {
-        let token = self.token_seen.get().max(known.token);
+    pub fn observe(&self, cluster_status: &ClusterStatus) {
+        let token = self.token_seen.get().max(cluster_status.token);
         self.token_seen.set(token);
-        if known.misses_one {
-            self.misses_told.set(self.clock.now());
+        if cluster_status.peer_unreachable {
+            self.partition_reported_at.set(self.clock.now());
         }
     }
 
     /// Whether every other controller said something since this process began.
-    pub fn all_have_spoken(&self) -> bool {
-        let words = self.words.borrow();
+    pub fn has_heard_all_peers(&self) -> bool {
+        let peer_statuses = self.peer_statuses.borrow();
         let mut members = self.platform.members.iter();
-        members.all(|m| words.contains_key(&m.node))
+        members.all(|m| peer_statuses.contains_key(&m.node))
     }
 
-    fn all_answer(&self) -> bool {
-        self.platform.members.iter().all(|m| self.answers(&m.node))
+    fn all_reachable(&self) -> bool {
+        self.platform
+            .members
+            .iter()
+            .all(|m| self.is_peer_reachable(&m.node))
     }
 
     /// Whether another controller told lately that it misses one, though this one may reach all.
-    pub fn hears_of_a_cut(&self) -> bool {
-        self.clock.now().since(self.misses_told.get()) < LATELY
+    pub fn peer_reports_partition(&self) -> bool {
+        self.clock.now().since(self.partition_reported_at.get()) < PEER_TIMEOUT
     }
 
-    fn note_word(&self, peer: &str, known: Knowledge) {
-        let word = Word {
-            known,
+    fn record_peer_status(&self, peer: &str, cluster_status: ClusterStatus) {
+        let status = PeerStatus {
+            cluster_status,
             at: self.clock.now(),
             failed: false,
         };
-        self.words.borrow_mut().insert(peer.to_owned(), word);
+        self.peer_statuses
+            .borrow_mut()
+            .insert(peer.to_owned(), status);
     }
 
     /// Whether the direct way to a controller failed lately.
-    pub fn avoids(&self, peer: &str) -> bool {
-        let until = self.avoided.borrow().get(peer).copied();
+    pub fn is_route_suspended(&self, peer: &str) -> bool {
+        let until = self.suspended_routes.borrow().get(peer).copied();
         until.is_some_and(|t| t > self.clock.now())
     }
 
     /// The direct way to a controller failed.
-    pub fn avoid(&self, peer: &str, until: Micros) {
-        self.avoided.borrow_mut().insert(peer.to_owned(), until);
+    pub fn suspend_route(&self, peer: &str, until: Micros) {
+        self.suspended_routes
+            .borrow_mut()
+            .insert(peer.to_owned(), until);
     }
 
     /// These jobs are cancelled, whether or not the view shows it yet.
     ///
     /// Guards against tasks that outlive their cancellation because the state service stopped answering right after it
     /// was committed, so that no watch tells the leader.
-    pub fn note_cancelled(&self, cancelled: &[Cancellation]) {
+    pub fn record_cancellations(&self, cancelled: &[Cancellation]) {
         for c in cancelled {
             self.cancellations.borrow_mut().note(c);
             if let Some(leading) = self.leading() {
-                let end = End {
-                    how: Final::Aborted,
+                let end = JobEnd {
+                    outcome: JobOutcome::Aborted,
                     at: c.at,
                     done: 0,
                 };
@@ -256,71 +267,73 @@
         }
     }
 
-    /// A report shows what is left of cancelled tasks on its machine.
-    pub fn look_for_cancelled(&self, report: &Report) {
+    /// A heartbeat shows what is left of cancelled tasks on its machine.
+    pub fn check_residue(&self, report: &Heartbeat) {
         let unix_time = self.clock.unix_time();
         self.cancellations.borrow_mut().on_report(report, unix_time);
     }
 
     /// Whether a controller that leads, with or without a lease, answers: this one or another.
-    pub fn leader_answers(&self) -> bool {
-        let words = self.words.borrow();
-        let leads = |(node, word): (&String, &Word)| word.known.leads && self.answers(node);
-        self.leading().is_some() || words.iter().any(leads)
+    pub fn leader_reachable(&self) -> bool {
+        let peer_statuses = self.peer_statuses.borrow();
+        let leads = |(node, status): (&String, &PeerStatus)| {
+            status.cluster_status.leads && self.is_peer_reachable(node)
+        };
+        self.leading().is_some() || peer_statuses.iter().any(leads)
     }
 
     /// Whether it is known here that a job's user cancelled it.
     pub fn is_cancelled(&self, job: &JobId) -> bool {
         let view = self.store.view.borrow();
         match view.end(job) {
-            Some(end) => end.how == Final::Aborted,
+            Some(end) => end.outcome == JobOutcome::Aborted,
             None => self.cancellations.borrow().knows(job),
         }
     }
 
     /// A controller of the zone that answers, for a worker of the zone.
-    pub fn neighbour_of(&self, zone: &str) -> Option<String> {
+    pub fn peer_in_zone(&self, zone: &str) -> Option<String> {
         let members = self.platform.members.iter();
         let near: Vec<&Member> = members
-            .filter(|m| m.zone == zone && self.answers(&m.node))
+            .filter(|m| m.zone == zone && self.is_peer_reachable(&m.node))
             .collect();
         fastrand::choice(near).map(|m| m.node.clone())
     }
 
-    /// Whether another controller answered lately. One that lacks only the state service passes reports on as ever.
-    fn answers(&self, node: &str) -> bool {
+    /// Whether another controller answered lately. One that lacks only the state service passes heartbeats on as ever.
+    fn is_peer_reachable(&self, node: &str) -> bool {
         let now = self.clock.now();
-        let words = self.words.borrow();
-        let fresh = |w: &Word| !w.failed && now.since(w.at) < LATELY;
-        words.get(node).is_some_and(fresh)
+        let peer_statuses = self.peer_statuses.borrow();
+        let fresh = |w: &PeerStatus| !w.failed && now.since(w.at) < PEER_TIMEOUT;
+        peer_statuses.get(node).is_some_and(fresh)
     }
 
     /// The controllers, and which of them answer.
-    pub fn controllers(&self) -> Vec<Controller> {
+    pub fn controllers(&self) -> Vec<ControllerStatus> {
         let members = self.platform.members.iter();
-        let seen = members.map(|m| Controller {
+        let seen = members.map(|m| ControllerStatus {
             node: m.node.clone(),
             zone: m.zone.clone(),
-            answers: self.answers(&m.node),
+            is_reachable: self.is_peer_reachable(&m.node),
         });
-        let own = Controller {
+        let own = ControllerStatus {
             node: self.platform.node.clone(),
             zone: self.platform.zone.clone(),
-            answers: true,
+            is_reachable: true,
         };
         seen.chain([own]).collect()
     }
 
     /// Whether this controller reaches neither the state service nor any other controller.
-    pub fn is_alone(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         let mut others = self.platform.members.iter().peekable();
         let has_others = others.peek().is_some();
-        has_others && !self.store.reachable() && !others.any(|m| self.answers(&m.node))
+        has_others && !self.store.reachable() && !others.any(|m| self.is_peer_reachable(&m.node))
     }
 
     /// Most connections that are accepted: some sockets are kept back for the state service, the cloud and the other
     /// controllers.
-    fn sockets_for_others(&self) -> usize {
+    fn max_connections(&self) -> usize {
         self.platform.facts.machine_limits.max_sockets * 4 / 5
     }
 
@@ -328,31 +341,31 @@
     /// report.
     ///
     /// Guards against idle connections of some workers that keep out the others, where fewer sockets than workers are left:
-    /// each report is then answered in its turn, and no worker loses its lease.
-    pub fn is_full(&self) -> bool {
-        self.connections.get() > self.sockets_for_others() * 9 / 10
+    /// each heartbeat is then answered in its turn, and no worker loses its lease.
+    pub fn is_socket_limit_near(&self) -> bool {
+        self.connections.get() > self.max_connections() * 9 / 10
     }
 
     /// Tells that submissions are refused, as there are as many jobs as this controller takes; not for each of them.
-    pub fn tell_of_admission(&self, active: usize) {
+    pub fn log_admission_limit(&self, active: usize) {
         let now = self.clock.now();
-        if now.since(self.told_of_admission.get()) >= TELL_EVERY {
-            self.told_of_admission.set(now);
+        if now.since(self.admission_logged_at.get()) >= LOG_INTERVAL {
+            self.admission_logged_at.set(now);
             warn!(
-                "event=admission_full active={active} cap={}",
+                "event=admission_limit_reached active={active} cap={}",
                 self.admission_cap
             );
         }
     }
 
     /// Tells when sockets get short, and when they are not any more.
-    fn tell_of_sockets(&self) {
+    fn log_socket_use(&self) {
         let connections = self.connections.get();
-        let most = self.sockets_for_others();
-        if self.is_full() && !self.sockets_short.replace(true) {
-            warn!("event=sockets_short connections={connections} most={most} answers=close");
-        } else if !self.is_crowded() && self.sockets_short.replace(false) {
-            info!("event=sockets_enough connections={connections} most={most}");
+        let most = self.max_connections();
+        if self.is_socket_limit_near() && !self.socket_shortage_logged.replace(true) {
+            warn!("event=socket_shortage connections={connections} most={most} answers=close");
+        } else if !self.is_socket_use_high() && self.socket_shortage_logged.replace(false) {
+            info!("event=socket_shortage_ended connections={connections} most={most}");
         }
     }
 
@@ -360,13 +373,13 @@
     ///
     /// Guards against users' connections keeping out workers, as after a filter between controllers, when the leader may
     /// have to take every worker of the fleet.
-    pub fn is_crowded(&self) -> bool {
-        self.connections.get() > self.sockets_for_others() * 3 / 4
+    pub fn is_socket_use_high(&self) -> bool {
+        self.connections.get() > self.max_connections() * 3 / 4
     }
 
-    /// How long a connection may stand idle: for longer than any worker is silent between two reports.
+    /// How long a connection may stand idle: for longer than any worker is silent between two heartbeats.
     fn idle_limit(&self) -> Micros {
-        let (least, reports) = if self.is_crowded() {
+        let (least, reports) = if self.is_socket_use_high() {
             (Micros::secs(20), 2)
         } else {
             (Micros::secs(60), 4)
@@ -380,27 +393,26 @@
     /// them each stays ready and refuses at once, as no other could do better.
     pub fn is_ready(&self) -> bool {
         let view = self.store.view.borrow();
-        if view.loaded && self.store.loss.borrow().is_some() && !self.is_alone() {
+        if view.loaded && self.store.loss.borrow().is_some() && !self.is_isolated() {
             // As in an outage: no other could do better, and each tells its users when to come back.
             return true;
         }
-        if !view.loaded || view.machine_types.is_none() || self.is_alone() {
+        if !view.loaded || view.machine_types.is_none() || self.is_isolated() {
             return false;
         }
         let now = self.clock.now();
-        let another_can = self
-            .words
-            .borrow()
-            .values()
-            .any(|w| w.known.state_reachable && now.since(w.at) < WORD_LASTS);
+        let another_can =
+            self.peer_statuses.borrow().values().any(|w| {
+                w.cluster_status.state_reachable && now.since(w.at) < PEER_STATUS_VALIDITY
+            });
         self.store.reachable() || !another_can
     }
 }
 
 /// Runs a controller for ever; returns only when it can't listen.
-pub async fn run<'a>(ex: &LocalExecutor<'a>, node: Rc<Node>) -> io::Result<()>
+pub async fn run<'a>(ex: &LocalExecutor<'a>, node: Rc<Controller>) -> io::Result<()>
 where
-    Rc<Node>: 'a,
+    Rc<Controller>: 'a,
 {
     let faces = Listener::bind(node.platform.bind).await?;
     let internal = Listener::bind(node.platform.internal_addr).await?;
@@ -409,12 +421,12 @@
         node.platform.node, node.platform.zone, node.platform.bind, node.platform.internal_addr
     );
     for warning in node.platform.warnings() {
-        warn!("event=settings_tight reason={warning:?}");
+        warn!("event=settings_marginal reason={warning:?}");
     }
     let duty = |name: &'static str, work: std::pin::Pin<Box<dyn Future<Output = ()>>>| {
         ex.spawn(async move {
             work.await;
-            warn!("event=duty_ended duty={name}");
+            warn!("event=task_ended duty={name}");
         })
     };
     let n = node.clone();
@@ -425,7 +437,7 @@
         Box::pin(async move { n.store.serve_barriers().await }),
     );
     let n = node.clone();
-    let _lead = duty("lead", Box::pin(async move { lead_by_turns(&n).await }));
+    let _lead = duty("lead", Box::pin(async move { run_elections(&n).await }));
     let n = node.clone();
     let _contacts = duty(
         "contacts",
@@ -436,22 +448,22 @@
         "pulse",
         Box::pin(async move {
             loop {
-                n.look_for_standstill(n.clock.now());
-                n.tell_of_sockets();
-                sleep(PULSE_EVERY).await;
+                n.detect_pause(n.clock.now());
+                n.log_socket_use();
+                sleep(PAUSE_CHECK_INTERVAL).await;
             }
         }),
     );
     let n = node.clone();
     let _clear_up = duty(
         "clear_up",
-        Box::pin(async move { cancellations::clear_up(&n).await }),
+        Box::pin(async move { cancellation::terminate_residue(&n).await }),
     );
     let n = node.clone();
     let _rebuild = node.settings.rebuilds().then(|| {
         duty(
             "rebuild",
-            Box::pin(async move { rebuild::watch_over(&n).await }),
+            Box::pin(async move { state_loss::watch_over(&n).await }),
         )
     });
     let mut pings = Vec::new();
@@ -466,7 +478,7 @@
     let ex2 = LocalExecutor::new();
     let internal_work = accept(&ex2, internal, node.clone(), move |stream| {
         let n = n.clone();
-        async move { peer::serve(stream, |frame| hear_peer(n.clone(), frame)).await }
+        async move { peer::serve(stream, |frame| handle_peer_request(n.clone(), frame)).await }
     });
     let n = node.clone();
     let face_work = accept(ex, faces, node.clone(), move |stream| {
@@ -481,13 +493,17 @@
 }
 
 /// Accepts connections, each served by a routine of its own.
-async fn accept<'a, F, Fut>(ex: &LocalExecutor<'a>, listener: Listener, node: Rc<Node>, serve: F)
-where
+async fn accept<'a, F, Fut>(
+    ex: &LocalExecutor<'a>,
+    listener: Listener,
+    node: Rc<Controller>,
+    serve: F,
+) where
     F: Fn(Stream) -> Fut,
     Fut: Future<Output = ()> + 'a,
-    Rc<Node>: 'a,
+    Rc<Controller>: 'a,
 {
-    let most = node.sockets_for_others();
+    let most = node.max_connections();
     loop {
         match listener.accept().await {
             Ok(stream) if node.connections.get() < most => {
@@ -509,100 +525,102 @@
     }
 }
 
-async fn route(node: Rc<Node>, call: Call) -> Reply {
+async fn route(node: Rc<Controller>, call: HttpRequest) -> HttpResponse {
     if call.path == "/checkin" {
         let reply = workers::answer(&node, &call).await;
-        let close = reply.close || node.is_full();
-        Reply { close, ..reply }
+        let close = reply.close || node.is_socket_limit_near();
+        HttpResponse { close, ..reply }
     } else {
         let reply = users::answer(&node, &call).await;
         // Users come back through the load balancer, so that they make room first.
-        let close = reply.close || node.is_crowded();
-        Reply { close, ..reply }
+        let close = reply.close || node.is_socket_use_high();
+        HttpResponse { close, ..reply }
     }
 }
 
-async fn hear_peer(node: Rc<Node>, frame: Frame<Request>) -> Frame<peer::Reply> {
-    node.learn(&frame.known);
+async fn handle_peer_request(node: Rc<Controller>, frame: Frame<PeerRequest>) -> Frame<PeerReply> {
+    node.observe(&frame.cluster_status);
     let message = match frame.message {
-        Request::Ping { cancelled, gone } => {
-            node.note_cancelled(&cancelled);
+        PeerRequest::Ping { cancelled, gone } => {
+            node.record_cancellations(&cancelled);
             let unix_time = node.clock.unix_time();
-            node.cancellations.borrow_mut().note_gone(&gone, unix_time);
-            peer::Reply::Pong
+            node.cancellations
+                .borrow_mut()
+                .on_residue_cleared(&gone, unix_time);
+            PeerReply::Pong
         }
-        Request::Report { relay, via, report } => {
-            workers::passed_on(&node, report, &via, relay).await
+        PeerRequest::Heartbeat { relay, via, report } => {
+            workers::answer_relayed(&node, report, &via, relay).await
         }
     };
     Frame {
-        known: node.known(),
+        cluster_status: node.cluster_status(),
         message,
     }
 }
 
 /// The duty that stands for election and leads when elected.
-async fn lead_by_turns(node: &Rc<Node>) {
+async fn run_elections(node: &Rc<Controller>) {
     loop {
-        let leadership = election::win(node).await;
+        let leadership = election::acquire(node).await;
         if let Some(why) = restore(node, &leadership).await {
             info!(
-                "event=stepped_down token={} reason={why:?}",
+                "event=leader_term_ended token={} reason={why:?}",
                 leadership.token
             );
             let _ = node.state.revoke(leadership.lease).await;
             continue;
         }
-        node.store.keep_seen(true);
-        let leading = Rc::new(Leading::new(node, leadership));
+        node.store.record_changes(true);
+        let leading = Rc::new(LeaderTerm::new(node, leadership));
         *node.leading.borrow_mut() = Some(leading.clone());
-        let why = leader::lead(node, &leading).await;
+        let why = leader::run_term(node, &leading).await;
         *node.leading.borrow_mut() = None;
-        node.store.keep_seen(false);
+        node.store.record_changes(false);
         info!(
-            "event=stepped_down token={} reason={why:?}",
+            "event=leader_term_ended token={} reason={why:?}",
             leading.token()
         );
         let limits = &node.platform.facts.state;
         let size = node.platform.facts.size as f64;
         node.state
             .set_share(limits.rps / size, limits.write_rps / size);
-        if node.known().token == leading.token() {
+        if node.cluster_status().token == leading.token() {
             let _ = node.state.revoke(leading.lease()).await;
         }
     }
 }
 
 /// Rebuilds what was lost, if anything was, while the lease lasts; says why it could not.
-async fn restore(node: &Node, leadership: &Leadership) -> Option<&'static str> {
-    let keep = async { Some(election::keep(node, leadership).await) };
-    let restore = async { rebuild::restore(node, leadership).await.err() };
+async fn restore(node: &Controller, leadership: &LeaderLease) -> Option<&'static str> {
+    let keep = async { Some(election::hold(node, leadership).await) };
+    let restore = async { state_loss::restore(node, leadership).await.err() };
     restore.or(keep).await
 }
 
 /// The duty that asks another controller what it knows.
-async fn ping(node: &Node, peer: &Peer) {
-    let mut told_until = node.cancellations.borrow().gone_from_now();
+async fn ping(node: &Controller, peer: &Peer) {
+    let mut told_until = node.cancellations.borrow().residue_cleared_cursor();
     loop {
         let (cancelled, (gone, told_next)) = {
             let cancellations = node.cancellations.borrow();
-            let gone = cancellations.gone_since(told_until);
-            (cancellations.untold(&peer.node), gone)
+            let gone = cancellations.residue_cleared_since(told_until);
+            (cancellations.unacknowledged(&peer.node), gone)
         };
-        let ping = Request::Ping {
+        let ping = PeerRequest::Ping {
             cancelled: cancelled.clone(),
             gone,
         };
-        match peer.call(node.known(), ping, PING_WITHIN).await {
+        match peer.call(node.cluster_status(), ping, PING_TIMEOUT).await {
             Ok(frame) => {
                 told_until = told_next;
-                let incarnation = frame.known.incarnation;
+                let incarnation = frame.cluster_status.incarnation;
                 let mut cancellations = node.cancellations.borrow_mut();
-                cancellations.was_told(&peer.node, incarnation, &cancelled);
+                cancellations.acknowledge(&peer.node, incarnation, &cancelled);
                 drop(cancellations);
-                node.learn(&frame.known);
-                node.note_word(&peer.node, frame.known);
-                node.avoided.borrow_mut().remove(&peer.node);
+                node.observe(&frame.cluster_status);
+                node.record_peer_status(&peer.node, frame.cluster_status);
+                node.suspended_routes.borrow_mut().remove(&peer.node);
             }
             Err(e) => {
                 debug!(
@@ -610,14 +628,14 @@
                     peer.node,
                     e.to_string()
                 );
-                if let Some(word) = node.words.borrow_mut().get_mut(&peer.node) {
-                    word.failed = true;
+                if let Some(status) = node.peer_statuses.borrow_mut().get_mut(&peer.node) {
+                    status.failed = true;
                 }
                 // Reports need not find out anew that this way is closed.
-                node.avoid(&peer.node, node.clock.now() + AVOID_FOR);
+                node.suspend_route(&peer.node, node.clock.now() + ROUTE_SUSPENSION);
             }
         }
-        sleep(PING_EVERY).await;
+        sleep(PING_INTERVAL).await;
     }
 }
 
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -3,7 +3,7 @@
 use http_types::Method;
 
 /// The second of five controllers in zones a, b, a, b, c.
-fn node(lease_s: f64) -> Node {
+fn node(lease_s: f64) -> Controller {
     let member = |i: usize, zone: &str| {
         format!(
             "[[members]]\nnode = \"n-{i}\"\nzone = \"{zone}\"\naddress = \"127.0.0.1:{}\"\n",
@@ -20,15 +20,15 @@
          [facts.machine_limits]\ncore_share = 0.12\nram_mb = 72.0\nmax_sockets = 1500\n",
         members.concat()
     );
-    Node::new(
+    Controller::new(
         Platform::parse(&text).expect("fine settings"),
         Settings::default(),
     )
 }
 
-fn answer_all(node: &Node) {
+fn answer_all(node: &Controller) {
     for i in [0, 2, 3, 4] {
-        node.note_word(&format!("n-{i}"), Knowledge::default());
+        node.record_peer_status(&format!("n-{i}"), ClusterStatus::default());
     }
 }
 
@@ -38,27 +38,37 @@
 fn a_controller_that_is_alone_hands_its_workers_on_within_their_lease() {
     let n = node(14.0);
     let m = MachineId("m-1".into());
-    assert!(!n.is_alone(), "it heard from the state service just now");
-    n.store.forget_answers();
-    assert!(n.is_alone() && !n.is_ready());
+    assert!(!n.is_isolated(), "it heard from the state service just now");
+    n.store.mark_unreachable_for_test();
+    assert!(n.is_isolated() && !n.is_ready());
     assert_eq!(
-        n.hand_off(&m, "b"),
+        n.redirect_target(&m, "b"),
         None,
         "its lease may be nearly over: it is answered first"
     );
-    n.note_contact(m.clone());
+    n.record_contact(m.clone());
     // One silent controller costs five seconds of fourteen: only the one right before this is safe.
-    assert_eq!(n.hand_off(&m, "b"), Some("n-0".into()));
-    n.note_contact(m.clone());
-    assert_eq!(n.hand_off(&m, "b"), None, "back again, it is left in peace");
+    assert_eq!(n.redirect_target(&m, "b"), Some("n-0".into()));
+    n.record_contact(m.clone());
+    assert_eq!(
+        n.redirect_target(&m, "b"),
+        None,
+        "back again, it is left in peace"
+    );
     answer_all(&n);
-    assert!(!n.is_alone());
+    assert!(!n.is_isolated());
     // A longer lease bears more tries, a lease that bears none is not risked.
     let far = node(36.0);
-    far.store.forget_answers();
-    assert_eq!(far.place_before(1, Micros::secs(36)), Some("n-4".into()));
-    assert_eq!(far.place_before(3, Micros::secs(36)), Some("n-2".into()));
-    assert_eq!(far.place_before(0, Micros::secs(8)), None);
+    far.store.mark_unreachable_for_test();
+    assert_eq!(
+        far.preceding_controller(1, Micros::secs(36)),
+        Some("n-4".into())
+    );
+    assert_eq!(
+        far.preceding_controller(3, Micros::secs(36)),
+        Some("n-2".into())
+    );
+    assert_eq!(far.preceding_controller(0, Micros::secs(8)), None);
 }
 
 // Guards against workers waiting for the end of a filter between controllers that they are not behind.
@@ -71,36 +81,41 @@
         let put = n.store.view.borrow_mut().put("r/leader", record, 7);
         put.expect("a leader");
     };
-    n.note_contact(m.clone());
+    n.record_contact(m.clone());
     lead("n-2");
     answer_all(&n);
     assert_eq!(
-        n.hand_off(&m, "b"),
+        n.redirect_target(&m, "b"),
         None,
         "a cut of zones may keep it from there"
     );
     assert_eq!(
-        n.hand_off(&m, "a"),
+        n.redirect_target(&m, "a"),
         Some("n-2".into()),
         "its own zone's leader it reaches"
     );
     let other = MachineId("m-2".into());
-    n.note_contact(other.clone());
-    n.words.borrow_mut().remove("n-3");
+    n.record_contact(other.clone());
+    n.peer_statuses.borrow_mut().remove("n-3");
     assert_eq!(
-        n.hand_off(&other, "b"),
+        n.redirect_target(&other, "b"),
         Some("n-2".into()),
         "not even this zone's reach each other"
     );
 }
 
-fn checkin(node: &Rc<Node>, seq: u64, token: u64, jobs: &[&str]) -> (u16, serde_json::Value) {
+fn checkin(
+    node: &Rc<Controller>,
+    sequence: u64,
+    token: u64,
+    jobs: &[&str],
+) -> (u16, serde_json::Value) {
     let tasks = jobs
         .iter()
         .map(|job| serde_json::json!({"take": format!("{job}/0"), "try": 2, "status": "running"}));
     let body = serde_json::json!({"host": "m-1", "endpoint": "e", "rig": "rig", "yard": "b", "loaners": false,
-        "watch": 1, "tally": seq, "warrant": token, "takes": tasks.collect::<Vec<_>>()});
-    let call = Call {
+        "watch": 1, "tally": sequence, "warrant": token, "takes": tasks.collect::<Vec<_>>()});
+    let call = HttpRequest {
         method: Method::Post,
         path: "/checkin".into(),
         query: String::new(),
@@ -111,10 +126,10 @@
     (reply.status, body)
 }
 
-fn hear_of_cancellation(node: &Rc<Node>, job: &str) {
+fn hear_of_cancellation(node: &Rc<Controller>, job: &str) {
     let ping = Frame {
-        known: Knowledge::default(),
-        message: Request::Ping {
+        cluster_status: ClusterStatus::default(),
+        message: PeerRequest::Ping {
             cancelled: vec![Cancellation {
                 job: JobId(job.into()),
                 at: 1,
@@ -123,7 +138,7 @@
             gone: Vec::new(),
         },
     };
-    async_io::block_on(hear_peer(node.clone(), ping));
+    async_io::block_on(handle_peer_request(node.clone(), ping));
 }
 
 fn stop_of(job: &str) -> serde_json::Value {
@@ -162,16 +177,16 @@
 fn a_leader_without_a_lease_stops_what_is_cancelled_and_alone_hands_its_workers_on() {
     let n = Rc::new(node(14.0));
     answer_all(&n);
-    let over = election::Leadership::new(7, 1, Micros::ZERO);
-    let leading = Rc::new(Leading::new(&n, over));
+    let over = election::LeaderLease::new(7, 1, Micros::ZERO);
+    let leading = Rc::new(LeaderTerm::new(&n, over));
     *n.leading.borrow_mut() = Some(leading.clone());
     hear_of_cancellation(&n, "j-1");
     let (_, answer) = checkin(&n, 1, 7, &["j-1", "j-2"]);
     assert_eq!(answer["orders"], stop_of("j-1"));
-    n.store.forget_answers();
+    n.store.mark_unreachable_for_test();
     assert_eq!(checkin(&n, 2, 7, &["j-2"]).0, 200, "an outage for all");
-    n.words.borrow_mut().clear();
-    assert!(n.is_alone());
+    n.peer_statuses.borrow_mut().clear();
+    assert!(n.is_isolated());
     assert_eq!(checkin(&n, 3, 7, &["j-2"]).0, 200, "its lease goes first");
     let (status, answer) = checkin(&n, 4, 7, &["j-2"]);
     assert_eq!((status, answer["muster"].as_str()), (421, Some("n-0")));
@@ -181,7 +196,7 @@
 #[test]
 fn where_sockets_are_short_connections_of_users_end_with_each_answer() {
     let node = Rc::new(node(14.0));
-    let call = |method, path: &str| Call {
+    let call = |method, path: &str| HttpRequest {
         method,
         path: path.into(),
         query: String::new(),
@@ -190,14 +205,14 @@
     let closes = |call| async_io::block_on(route(node.clone(), call)).close;
     assert!(!closes(call(Method::Get, "/ready")));
     // First users make room, who come back through the load balancer.
-    node.connections.set(node.sockets_for_others() * 3 / 4 + 1);
+    node.connections.set(node.max_connections() * 3 / 4 + 1);
     assert!(closes(call(Method::Get, "/ready")));
     assert!(!closes(call(Method::Post, "/checkin")));
-    // Where there are fewer sockets than workers, workers take turns as well: each report comes on a connection of its own.
-    node.connections.set(node.sockets_for_others());
+    // Where there are fewer sockets than workers, workers take turns as well: each heartbeat comes on a connection of its own.
+    node.connections.set(node.max_connections());
     assert!(closes(call(Method::Get, "/ready")));
     assert!(closes(call(Method::Post, "/checkin")));
-    node.connections.set(node.sockets_for_others() / 2);
+    node.connections.set(node.max_connections() / 2);
     assert!(!closes(call(Method::Get, "/ready")));
     assert!(!closes(call(Method::Post, "/checkin")));
 }
--- a/src/election.rs
+++ b/src/election.rs
@@ -1,8 +1,8 @@
 //! Who leads: the holder of the leader key, which hangs on a lease; the key's version is the token.
 
 use crate::clock::sleep;
-use crate::controller::Node;
-use crate::state::{Change, Condition, Outcome, StateError, Urgency};
+use crate::controller::Controller;
+use crate::kv::{Change, Condition, KvError, Outcome, Urgency};
 use crate::store::{LEADER, LOSS, LeaderRecord, TERM};
 use crate::units::Micros;
 use futures_lite::FutureExt;
@@ -11,12 +11,12 @@
 use std::cell::Cell;
 
 /// How often a controller looks whether there is a leader, beside every change of the view.
-const LOOK_EVERY: Micros = Micros::millis(500);
+const ELECTION_CHECK_INTERVAL: Micros = Micros::millis(500);
 /// How long a new leader waits for its view to hold everything before its own election.
-const CATCH_UP_WITHIN: Micros = Micros::secs(2);
+const CATCH_UP_TIMEOUT: Micros = Micros::secs(2);
 
 /// A lease on leading.
-pub struct Leadership {
+pub struct LeaderLease {
     /// The token.
     pub token: u64,
     /// The version of the leader key: the token less what is added to it after a loss of stored state.
@@ -29,15 +29,15 @@
     valid_until: Cell<Micros>,
 }
 
-impl Leadership {
+impl LeaderLease {
     /// Whether nobody else can lead yet.
     pub fn is_valid(&self, now: Micros) -> bool {
         now < self.valid_until.get()
     }
 
     /// A lease where no stored state was ever lost.
-    pub fn new(token: u64, lease: u64, valid_until: Micros) -> Leadership {
-        Leadership {
+    pub fn new(token: u64, lease: u64, valid_until: Micros) -> LeaderLease {
+        LeaderLease {
             token,
             revision: token,
             lease,
@@ -49,12 +49,12 @@
 
 /// The end of a lease of `ttl` renewed by a request sent at `sent`: clocks may drift by 0.05%, so a hundredth is
 /// more than enough.
-fn lasts(sent: Micros, ttl: Micros) -> Micros {
+fn lease_expiry(sent: Micros, ttl: Micros) -> Micros {
     sent + ttl.scaled(99, 100)
 }
 
 /// Waits until this controller is elected and its view holds all that went before.
-pub async fn win(node: &Node) -> Leadership {
+pub async fn acquire(node: &Controller) -> LeaderLease {
     loop {
         let changed = node.store.changed.listen();
         let holder = {
@@ -63,8 +63,8 @@
                 .then(|| view.leader.as_ref().map(|l| l.value.clone()))
         };
         match holder {
-            Some(None) if node.may_stand() => {
-                if let Some(leadership) = stand(node).await {
+            Some(None) if node.is_eligible() => {
+                if let Some(leadership) = campaign(node).await {
                     return leadership;
                 }
             }
@@ -72,19 +72,19 @@
             // its lease need not run out first.
             Some(Some(record)) if record.node == node.platform.node => {
                 let ended = node.state.revoke(record.lease).await;
-                debug!("event=former_lease_ended good={}", ended.is_ok());
+                debug!("event=stale_lease_revoked good={}", ended.is_ok());
             }
             _ => {}
         }
         let look = async {
-            sleep(LOOK_EVERY).await;
+            sleep(ELECTION_CHECK_INTERVAL).await;
         };
         changed.or(look).await;
     }
 }
 
 /// One try to take the free leader key.
-async fn stand(node: &Node) -> Option<Leadership> {
+async fn campaign(node: &Controller) -> Option<LeaderLease> {
     let ttl = node.settings.leader_lease();
     let sent = node.clock.now();
     let lease = node.state.grant(ttl).await.ok()?;
@@ -120,7 +120,7 @@
     }
     let revision = match node.state.txn(Urgency::Now, &when, &writes).await {
         Ok(Outcome::Applied(revision)) => revision,
-        Ok(Outcome::Conflict(_)) | Err(StateError::Refused(_)) => {
+        Ok(Outcome::Conflict(_)) | Err(KvError::Refused(_)) => {
             let _ = node.state.revoke(lease).await;
             return None;
         }
@@ -139,28 +139,33 @@
         let leader = loss.snapshot.as_ref().and_then(|view| view.leader.as_ref());
         leader.is_some_and(|leader| leader.version == revision)
     });
-    if is_known || !node.store.caught_up(revision, CATCH_UP_WITHIN).await {
+    if is_known
+        || !node
+            .store
+            .wait_for_revision(revision, CATCH_UP_TIMEOUT)
+            .await
+    {
         let _ = node.state.revoke(lease).await;
         return None;
     }
     let token = node.store.view.borrow().token(revision);
-    info!("event=leading token={token}");
-    Some(Leadership {
+    info!("event=leader_elected token={token}");
+    Some(LeaderLease {
         token,
         revision,
         lease,
         losses_found,
-        valid_until: Cell::new(lasts(sent, ttl)),
+        valid_until: Cell::new(lease_expiry(sent, ttl)),
     })
 }
 
 /// Renews the lease until it is lost or another controller leads; says why.
-pub async fn keep(node: &Node, leadership: &Leadership) -> &'static str {
+pub async fn hold(node: &Controller, leadership: &LeaderLease) -> &'static str {
     let ttl = node.settings.leader_lease();
     let mut outage = false;
     loop {
         sleep(ttl.scaled(1, 4)).await;
-        if node.known().token > leadership.token {
+        if node.cluster_status().token > leadership.token {
             return "another controller leads";
         }
         if node.store.losses_found() != leadership.losses_found {
@@ -169,19 +174,25 @@
         let sent = node.clock.now();
         match node.state.extend(leadership.lease).await {
             Ok(()) => {
-                node.store.note_answer();
-                leadership.valid_until.set(lasts(sent, ttl));
+                node.store.mark_reachable();
+                leadership.valid_until.set(lease_expiry(sent, ttl));
                 if outage {
                     outage = false;
-                    info!("event=outage_ended token={}", leadership.token);
+                    info!(
+                        "event=leader_lease_renewal_restored token={}",
+                        leadership.token
+                    );
                 }
             }
-            Err(StateError::NoLease) => return "lease lost",
+            Err(KvError::NoLease) => return "lease lost",
             Err(e) => {
                 debug!("event=renewal_failed error={:?}", e.to_string());
                 if !outage && !leadership.is_valid(node.clock.now()) {
                     outage = true;
-                    info!("event=outage_began token={} orders=held", leadership.token);
+                    info!(
+                        "event=leader_lease_renewal_lost token={} orders=held",
+                        leadership.token
+                    );
                 }
             }
         }
--- a/src/http.rs
+++ b/src/http.rs
@@ -21,13 +21,13 @@
 /// The largest head of a request with room for the encoding of its body.
 const MAX_HEAD: usize = 32 * 1024;
 /// How long a connection may take to send a request's head, or its body.
-const READ_WITHIN: Micros = Micros::secs(10);
+const READ_TIMEOUT: Micros = Micros::secs(10);
 /// How often an idle connection is asked whether it may stay so.
-const IDLE_LOOK: Micros = Micros::secs(10);
+const IDLE_CHECK_INTERVAL: Micros = Micros::secs(10);
 /// How long a peer may take to accept an answer.
-const WRITE_WITHIN: Micros = Micros::secs(10);
+const WRITE_TIMEOUT: Micros = Micros::secs(10);
 /// Nobody waits for an answer for longer than this: a submission's user waits five seconds, all others less.
-const ANSWER_WITHIN: Micros = Micros::secs(5);
+const RESPONSE_TIMEOUT: Micros = Micros::secs(5);
 /// Idle connections that a client keeps.
 const MAX_IDLE: usize = 8;
 
@@ -43,7 +43,7 @@
 }
 
 /// Runs `work`, but no longer than `limit`.
-pub async fn within<T>(limit: Micros, work: impl Future<Output = T>) -> Option<T> {
+pub async fn timeout<T>(limit: Micros, work: impl Future<Output = T>) -> Option<T> {
     async { Some(work.await) }
         .or(async {
             sleep(limit).await;
@@ -53,7 +53,7 @@
 }
 
 /// Runs all of these side by side; what they bring, in their order.
-pub async fn side_by_side<T>(work: Vec<impl Future<Output = T>>) -> Vec<T> {
+pub async fn join_all<T>(work: Vec<impl Future<Output = T>>) -> Vec<T> {
     let mut open: Vec<_> = work.into_iter().map(|w| (Box::pin(w), None)).collect();
     future::poll_fn(|cx| {
         for (work, brought) in open.iter_mut().filter(|(_, brought)| brought.is_none()) {
@@ -109,7 +109,7 @@
             sent.set(true);
             self.exchange(stream, method, path, body.clone()).await
         };
-        match within(limit, work).await {
+        match timeout(limit, work).await {
             Some(answer) => answer,
             None if sent.get() => Err(HttpError::NoAnswer("timed out".into())),
             None => Err(HttpError::NotSent("connecting timed out".into())),
@@ -200,7 +200,7 @@
 }
 
 /// A request as the faces see it: whole, and with a bounded body.
-pub struct Call {
+pub struct HttpRequest {
     /// The method.
     pub method: Method,
     /// The path.
@@ -213,7 +213,7 @@
 
 /// An answer of one of the faces.
 #[derive(Debug, Clone)]
-pub struct Reply {
+pub struct HttpResponse {
     /// The status.
     pub status: u16,
     /// The body, JSON or empty.
@@ -224,10 +224,10 @@
     pub close: bool,
 }
 
-impl Reply {
+impl HttpResponse {
     /// An answer with a JSON body.
-    pub fn json(status: u16, value: &impl Serialize) -> Reply {
-        Reply {
+    pub fn json(status: u16, value: &impl Serialize) -> HttpResponse {
+        HttpResponse {
             status,
             body: serde_json::to_vec(value).unwrap_or_default(),
             retry_after: None,
@@ -236,15 +236,15 @@
     }
 
     /// An error with a reason in words.
-    pub fn error(status: u16, reason: &str) -> Reply {
-        Reply::json(status, &serde_json::json!({ "error": reason }))
+    pub fn error(status: u16, reason: &str) -> HttpResponse {
+        HttpResponse::json(status, &serde_json::json!({ "error": reason }))
     }
 
     /// A refusal that says when to come back.
-    pub fn later(status: u16, reason: &str, seconds: u64) -> Reply {
-        Reply {
+    pub fn retry_later(status: u16, reason: &str, seconds: u64) -> HttpResponse {
+        HttpResponse {
             retry_after: Some(seconds),
-            ..Reply::error(status, reason)
+            ..HttpResponse::error(status, reason)
         }
     }
 
@@ -266,14 +266,14 @@
 /// Serves one connection until it ends, idles for longer than `idle` says at the moment, or breaks the protocol.
 ///
 /// Guards against: heads without an end ([`Bounded`]), bodies over the limit (refused before they are read), heads or bodies that trickle in (bounded
-/// time), readers that do not take their answer (bounded time), answers from before a standstill of this process, which
+/// time), readers that do not take their answer (bounded time), answers from before a pause of this process, which
 /// by then are out of date (not sent).
 pub async fn serve<F, Fut>(stream: Stream, idle: impl Fn() -> Micros, handle: F)
 where
-    F: Fn(Call) -> Fut,
-    Fut: Future<Output = Reply>,
+    F: Fn(HttpRequest) -> Fut,
+    Fut: Future<Output = HttpResponse>,
 {
-    while is_spoken_on(&stream, &idle).await {
+    while wait_readable(&stream, &idle).await {
         // On the heap, so that a connection takes this room only while it has a request: it is ten times what an idle one
         // needs, and a controller may hold the workers of a whole fleet.
         if !Box::pin(answer_one(&stream, &handle)).await {
@@ -282,22 +282,22 @@
     }
 }
 
-/// Reads one request and answers it; false if the connection is over.
+/// Reads one request and answers it; false if the connection has ended.
 async fn answer_one<F, Fut>(stream: &Stream, handle: &F) -> bool
 where
-    F: Fn(Call) -> Fut,
-    Fut: Future<Output = Reply>,
+    F: Fn(HttpRequest) -> Fut,
+    Fut: Future<Output = HttpResponse>,
 {
     let began = Clock.now();
     let bounded = Bounded {
         stream: stream.clone(),
         left: Arc::new(AtomicUsize::new(MAX_HEAD + MAX_BODY)),
     };
-    let decoded = within(READ_WITHIN, async_h1::server::decode(bounded)).await;
+    let decoded = timeout(READ_TIMEOUT, async_h1::server::decode(bounded)).await;
     let mut request = match decoded {
         Some(Ok(Some((request, _)))) => request,
         Some(Err(_)) => {
-            let refusal = Reply::error(400, "malformed request");
+            let refusal = HttpResponse::error(400, "malformed request");
             send(stream, refusal, Method::Get).await;
             return false;
         }
@@ -309,7 +309,7 @@
         .is_some_and(|c| c.as_str().eq_ignore_ascii_case("close"));
     let reply = match read_body(&mut request).await {
         Ok(body) => {
-            let call = Call {
+            let call = HttpRequest {
                 method,
                 path: request.url().path().to_owned(),
                 query: request.url().query().unwrap_or_default().to_owned(),
@@ -317,46 +317,46 @@
             };
             let reply = handle(call).await;
             let close = reply.close || asked_close;
-            Reply { close, ..reply }
+            HttpResponse { close, ..reply }
         }
         // The rest of the body is not read, so the connection can't go on.
-        Err(refusal) => Reply {
+        Err(refusal) => HttpResponse {
             close: true,
             ..refusal
         },
     };
     let close = reply.close;
-    let is_late = Clock.now().since(began) > ANSWER_WITHIN;
+    let is_late = Clock.now().since(began) > RESPONSE_TIMEOUT;
     !is_late && send(stream, reply, method).await && !close
 }
 
 /// Waits for a request; false if the connection ended or stood idle for too long.
-async fn is_spoken_on(stream: &Stream, idle: &impl Fn() -> Micros) -> bool {
+async fn wait_readable(stream: &Stream, idle: &impl Fn() -> Micros) -> bool {
     let mut waited = Micros::ZERO;
     while waited < idle() {
-        if let Some(first) = within(IDLE_LOOK, stream.is_spoken_on()).await {
+        if let Some(first) = timeout(IDLE_CHECK_INTERVAL, stream.wait_readable()).await {
             return first.unwrap_or(false);
         }
-        waited = waited + IDLE_LOOK;
+        waited = waited + IDLE_CHECK_INTERVAL;
     }
     false
 }
 
-async fn read_body(request: &mut Request) -> Result<Vec<u8>, Reply> {
+async fn read_body(request: &mut Request) -> Result<Vec<u8>, HttpResponse> {
     if request.len().is_some_and(|len| len > MAX_BODY) {
-        return Err(Reply::error(413, "body over 64 KiB"));
+        return Err(HttpResponse::error(413, "body over 64 KiB"));
     }
     let mut body = Vec::new();
     let mut reader = request.take_body().take(MAX_BODY as u64 + 1);
-    match within(READ_WITHIN, reader.read_to_end(&mut body)).await {
-        Some(Ok(_)) if body.len() > MAX_BODY => Err(Reply::error(413, "body over 64 KiB")),
+    match timeout(READ_TIMEOUT, reader.read_to_end(&mut body)).await {
+        Some(Ok(_)) if body.len() > MAX_BODY => Err(HttpResponse::error(413, "body over 64 KiB")),
         Some(Ok(_)) => Ok(body),
-        Some(Err(_)) => Err(Reply::error(400, "malformed body")),
-        None => Err(Reply::error(408, "body too slow")),
+        Some(Err(_)) => Err(HttpResponse::error(400, "malformed body")),
+        None => Err(HttpResponse::error(408, "body too slow")),
     }
 }
 
-async fn send(stream: &Stream, reply: Reply, method: Method) -> bool {
+async fn send(stream: &Stream, reply: HttpResponse, method: Method) -> bool {
     let mut encoder = async_h1::server::Encoder::new(reply.into_response(), method);
     let mut stream = stream.clone();
     let work = async {
@@ -365,7 +365,7 @@
         stream.write_all(&bytes).await?;
         stream.flush().await
     };
-    matches!(within(WRITE_WITHIN, work).await, Some(Ok(())))
+    matches!(timeout(WRITE_TIMEOUT, work).await, Some(Ok(())))
 }
 
 #[cfg(test)]
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -3,7 +3,7 @@
 use futures_lite::future;
 use std::time::Duration;
 
-// Guards against answers from before a standstill: another controller may have told something newer meanwhile.
+// Guards against answers from before a pause: another controller may have told something newer meanwhile.
 #[test]
 fn an_answer_that_nobody_waits_for_any_more_is_not_sent() {
     async_io::block_on(async {
@@ -15,13 +15,13 @@
         let server = async {
             for _ in 0..2 {
                 let stream = listener.accept().await.unwrap();
-                let handle = |_: Call| async {
+                let handle = |_: HttpRequest| async {
                     if !slept.replace(true) {
-                        std::thread::sleep(Duration::from(ANSWER_WITHIN + Micros::millis(1)));
+                        std::thread::sleep(Duration::from(RESPONSE_TIMEOUT + Micros::millis(1)));
                     }
-                    Reply {
+                    HttpResponse {
                         close: true,
-                        ..Reply::error(200, "fine")
+                        ..HttpResponse::error(200, "fine")
                     }
                 };
                 serve(stream, || Micros::secs(60), handle).await;
--- a/src/state.rs
+++ b/src/kv.rs
@@ -14,22 +14,22 @@
 use thiserror::Error;
 
 /// How long a request may take before its outcome counts as unknown.
-const CALL_WITHIN: Micros = Micros::millis(1_500);
+const CALL_TIMEOUT: Micros = Micros::millis(1_500);
 /// A transaction without an answer is sent again after this at the least; answers normally take a few milliseconds.
-const LEAST_RETRANSMIT: Micros = Micros::millis(400);
+const MIN_RETRANSMIT: Micros = Micros::millis(400);
 /// How long a watch may take beyond the time it asked for.
 const WATCH_MARGIN: Micros = Micros::secs(2);
 
 /// Why the state service did not do what was asked.
 #[derive(Debug, Error)]
-pub enum StateError {
+pub enum KvError {
     /// Certainly not executed: 429, 503 or no connection.
     #[error("refused: {0}")]
     Refused(String),
     /// May have been executed, or may be later.
     #[error("no answer: {0}")]
     Unknown(String),
-    /// The lease named is over.
+    /// The lease named has ended.
     #[error("no such lease")]
     NoLease,
     /// The watch began too far back.
@@ -196,15 +196,15 @@
 }
 
 /// A token bucket holding one second's worth.
-struct Bucket {
+struct TokenBucket {
     per_second: f64,
     level: Cell<f64>,
     filled: Cell<Micros>,
 }
 
-impl Bucket {
-    fn new(per_second: f64) -> Bucket {
-        Bucket {
+impl TokenBucket {
+    fn new(per_second: f64) -> TokenBucket {
+        TokenBucket {
             per_second,
             level: Cell::new(per_second),
             filled: Cell::new(Clock.now()),
@@ -228,12 +228,12 @@
 /// Guards against a slow service that is asked everything twice: its answers would take longer still, and the budget of
 /// requests and changes would be used up by copies.
 #[derive(Debug, Default)]
-pub struct ResponseTime {
+pub struct RetransmitTimer {
     smoothed: Micros,
     variation: Micros,
 }
 
-impl ResponseTime {
+impl RetransmitTimer {
     /// An answer came after this time.
     pub fn observe(&mut self, took: Micros) {
         if self.smoothed == Micros::ZERO {
@@ -248,36 +248,36 @@
 
     /// How long to wait for an answer before a transaction is sent again.
     pub fn retransmit_after(&self) -> Micros {
-        (self.smoothed + self.variation.scaled(4, 1)).max(LEAST_RETRANSMIT)
+        (self.smoothed + self.variation.scaled(4, 1)).max(MIN_RETRANSMIT)
     }
 }
 
 /// The state service as one controller sees it.
-pub struct State {
+pub struct KvClient {
     client: Client,
     /// Watches stay open for long: they have connections of their own.
     watcher: Client,
-    requests: RefCell<Bucket>,
-    writes: RefCell<Bucket>,
-    response_time: RefCell<ResponseTime>,
+    requests: RefCell<TokenBucket>,
+    writes: RefCell<TokenBucket>,
+    response_time: RefCell<RetransmitTimer>,
     /// Whether it is looked for evidence that stored state was lost, so that it can be rebuilt.
-    watches_for_loss: bool,
+    detects_loss: bool,
     revisions: RefCell<RevisionWatch>,
     evidence: RefCell<Option<Evidence>>,
     /// Fires when there is evidence that stored state was lost.
     pub loss_found: EventListeners,
 }
 
-impl State {
+impl KvClient {
     /// A client with its share of the budget, which looks for evidence of a loss or does not.
-    pub fn new(addr: SocketAddr, rps: f64, write_rps: f64, watches_for_loss: bool) -> State {
-        State {
+    pub fn new(addr: SocketAddr, rps: f64, write_rps: f64, detects_loss: bool) -> KvClient {
+        KvClient {
             client: Client::new(addr),
             watcher: Client::new(addr),
-            requests: RefCell::new(Bucket::new(rps)),
-            writes: RefCell::new(Bucket::new(write_rps)),
+            requests: RefCell::new(TokenBucket::new(rps)),
+            writes: RefCell::new(TokenBucket::new(write_rps)),
             response_time: RefCell::default(),
-            watches_for_loss,
+            detects_loss,
             revisions: RefCell::default(),
             evidence: RefCell::default(),
             loss_found: EventListeners::new(),
@@ -286,7 +286,7 @@
 
     /// An answer told the revision as of which it was given.
     fn observe_revision(&self, expected: Expected, revision: u64) {
-        if !self.watches_for_loss {
+        if !self.detects_loss {
             return;
         }
         let evidence = self.revisions.borrow_mut().answered(expected, revision);
@@ -296,8 +296,8 @@
     }
 
     /// Whether it is looked for evidence that stored state was lost.
-    pub fn watches_for_loss(&self) -> bool {
-        self.watches_for_loss
+    pub fn detects_loss(&self) -> bool {
+        self.detects_loss
     }
 
     /// There is evidence that stored state was lost; the first counts until it is dealt with.
@@ -347,17 +347,17 @@
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-    ) -> Result<(u16, Vec<u8>), StateError> {
+    ) -> Result<(u16, Vec<u8>), KvError> {
         let began = Clock.now();
-        match self.client.call(method, path, body, CALL_WITHIN).await {
+        match self.client.call(method, path, body, CALL_TIMEOUT).await {
             Ok((status, bytes)) => {
                 let took = Clock.now().since(began);
                 self.response_time.borrow_mut().observe(took);
-                sort_status(status, bytes)
+                classify_status(status, bytes)
             }
             Err(e) => {
                 self.client.forget_idle();
-                Err(no_answer(e))
+                Err(http_to_kv_error(e))
             }
         }
     }
@@ -368,7 +368,7 @@
         urgency: Urgency,
         when: &[Condition],
         writes: &[Change],
-    ) -> Result<Outcome, StateError> {
+    ) -> Result<Outcome, KvError> {
         self.pace(urgency, writes.len()).await;
         let body = serde_json::json!({ "when": when, "writes": writes });
         let expected = self.revisions.borrow().begin();
@@ -388,19 +388,19 @@
                 }
                 Ok(Outcome::Conflict(failed.failed))
             }
-            _ => Err(odd(status, &bytes)),
+            _ => Err(unexpected_status(status, &bytes)),
         }
     }
 
     /// The same, sent a second time where the first stays without an answer for a while; says whether it was.
     ///
-    /// Guards against a lost answer that holds up a user, or a round, for as long as a request may take. Of two copies
+    /// Guards against a lost answer that holds up a user, or a scheduling cycle, for as long as a request may take. Of two copies
     /// that both arrive the later one fails, if the conditions name a key that the first changed.
-    pub async fn txn_twice(
+    pub async fn txn_with_retransmit(
         &self,
         when: &[Condition],
         writes: &[Change],
-    ) -> (Result<Outcome, StateError>, bool) {
+    ) -> (Result<Outcome, KvError>, bool) {
         let again = Cell::new(false);
         let first = Box::pin(self.txn(Urgency::Now, when, writes));
         let second = Box::pin(async {
@@ -413,7 +413,7 @@
     }
 
     /// One key, or the current revision where it does not exist.
-    pub async fn get(&self, urgency: Urgency, key: &str) -> Result<Result<Item, u64>, StateError> {
+    pub async fn get(&self, urgency: Urgency, key: &str) -> Result<Result<Item, u64>, KvError> {
         self.pace(urgency, 0).await;
         let expected = self.revisions.borrow().begin();
         let (status, bytes) = self
@@ -426,12 +426,12 @@
                 self.observe_revision(expected, revision);
                 Ok(Err(revision))
             }
-            _ => Err(odd(status, &bytes)),
+            _ => Err(unexpected_status(status, &bytes)),
         }
     }
 
     /// A page of the keys with a prefix, beginning after `from`.
-    pub async fn list(&self, prefix: &str, from: &str) -> Result<Page, StateError> {
+    pub async fn list(&self, prefix: &str, from: &str) -> Result<Page, KvError> {
         self.pace(Urgency::Paced, 0).await;
         let mut path = format!("/keys?prefix={prefix}&page=1000");
         if !from.is_empty() {
@@ -445,7 +445,7 @@
                 self.observe_revision(expected, page.revision);
                 Ok(page)
             }
-            _ => Err(odd(status, &bytes)),
+            _ => Err(unexpected_status(status, &bytes)),
         }
     }
 
@@ -455,7 +455,7 @@
         prefix: &str,
         from: u64,
         wait: Micros,
-    ) -> Result<WatchResponse, StateError> {
+    ) -> Result<WatchResponse, KvError> {
         self.pace(Urgency::Paced, 0).await;
         let path = format!(
             "/watch?prefix={prefix}&from={from}&waitMs={}",
@@ -466,20 +466,20 @@
             .watcher
             .call(Method::Get, &path, None, wait + WATCH_MARGIN)
             .await
-            .map_err(no_answer)?;
-        match sort_status(answer.0, answer.1)? {
+            .map_err(http_to_kv_error)?;
+        match classify_status(answer.0, answer.1)? {
             (200, bytes) => {
-                let news: WatchResponse = parse(&bytes)?;
-                self.observe_revision(expected, news.revision);
-                Ok(news)
+                let response: WatchResponse = parse(&bytes)?;
+                self.observe_revision(expected, response.revision);
+                Ok(response)
             }
-            (410, _) => Err(StateError::TooOld),
-            (status, bytes) => Err(odd(status, &bytes)),
+            (410, _) => Err(KvError::TooOld),
+            (status, bytes) => Err(unexpected_status(status, &bytes)),
         }
     }
 
     /// A new lease.
-    pub async fn grant(&self, ttl: Micros) -> Result<u64, StateError> {
+    pub async fn grant(&self, ttl: Micros) -> Result<u64, KvError> {
         self.pace(Urgency::Now, 0).await;
         let body = serde_json::json!({ "ttlMs": ttl.as_millis() });
         let (status, bytes) = self
@@ -487,62 +487,60 @@
             .await?;
         match status {
             200 => Ok(parse::<Lease>(&bytes)?.id),
-            _ => Err(odd(status, &bytes)),
+            _ => Err(unexpected_status(status, &bytes)),
         }
     }
 
     /// Renews a lease.
-    pub async fn extend(&self, lease: u64) -> Result<(), StateError> {
+    pub async fn extend(&self, lease: u64) -> Result<(), KvError> {
         self.pace(Urgency::Now, 0).await;
         let path = format!("/holds/{lease}/extend");
         let (status, bytes) = self.call(Method::Post, &path, None).await?;
         match status {
             200 => Ok(()),
-            404 => Err(StateError::NoLease),
-            _ => Err(odd(status, &bytes)),
+            404 => Err(KvError::NoLease),
+            _ => Err(unexpected_status(status, &bytes)),
         }
     }
 
     /// Ends a lease at once.
-    pub async fn revoke(&self, lease: u64) -> Result<(), StateError> {
+    pub async fn revoke(&self, lease: u64) -> Result<(), KvError> {
         self.pace(Urgency::Now, 0).await;
         let path = format!("/holds/{lease}");
         match self.call(Method::Delete, &path, None).await?.0 {
             200..=299 | 404 => Ok(()),
-            status => Err(odd(status, &[])),
+            status => Err(unexpected_status(status, &[])),
         }
     }
 }
 
-fn sort_status(status: u16, bytes: Vec<u8>) -> Result<(u16, Vec<u8>), StateError> {
+fn classify_status(status: u16, bytes: Vec<u8>) -> Result<(u16, Vec<u8>), KvError> {
     match status {
-        429 | 503 => Err(StateError::Refused(format!("status {status}"))),
-        400 if String::from_utf8_lossy(&bytes).contains("no such lease") => {
-            Err(StateError::NoLease)
-        }
-        500..=599 => Err(StateError::Unknown(format!("status {status}"))),
+        429 | 503 => Err(KvError::Refused(format!("status {status}"))),
+        400 if String::from_utf8_lossy(&bytes).contains("no such lease") => Err(KvError::NoLease),
+        500..=599 => Err(KvError::Unknown(format!("status {status}"))),
         _ => Ok((status, bytes)),
     }
 }
 
-fn no_answer(e: HttpError) -> StateError {
+fn http_to_kv_error(e: HttpError) -> KvError {
     match e {
-        HttpError::NotSent(e) => StateError::Refused(e),
-        HttpError::NoAnswer(e) => StateError::Unknown(e),
+        HttpError::NotSent(e) => KvError::Refused(e),
+        HttpError::NoAnswer(e) => KvError::Unknown(e),
     }
 }
 
-fn encode(value: &Value) -> Result<Vec<u8>, StateError> {
-    serde_json::to_vec(value).map_err(|e| StateError::Malformed(e.to_string()))
+fn encode(value: &Value) -> Result<Vec<u8>, KvError> {
+    serde_json::to_vec(value).map_err(|e| KvError::Malformed(e.to_string()))
 }
 
-fn parse<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, StateError> {
-    serde_json::from_slice(bytes).map_err(|e| StateError::Malformed(e.to_string()))
+fn parse<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, KvError> {
+    serde_json::from_slice(bytes).map_err(|e| KvError::Malformed(e.to_string()))
 }
 
-fn odd(status: u16, bytes: &[u8]) -> StateError {
+fn unexpected_status(status: u16, bytes: &[u8]) -> KvError {
     let text: String = String::from_utf8_lossy(bytes).chars().take(200).collect();
-    StateError::Malformed(format!("status {status} {text}"))
+    KvError::Malformed(format!("status {status} {text}"))
 }
 
 #[cfg(test)]
--- a/src/state/tests.rs
+++ b/src/kv/tests.rs
@@ -4,12 +4,12 @@
 // well again does not shorten.
 #[test]
 fn the_wait_before_a_transaction_is_sent_again_follows_what_answers_take() {
-    let mut time = ResponseTime::default();
-    assert_eq!(time.retransmit_after(), LEAST_RETRANSMIT);
+    let mut time = RetransmitTimer::default();
+    assert_eq!(time.retransmit_after(), MIN_RETRANSMIT);
     for _ in 0..20 {
         time.observe(Micros::millis(6));
     }
-    assert_eq!(time.retransmit_after(), LEAST_RETRANSMIT);
+    assert_eq!(time.retransmit_after(), MIN_RETRANSMIT);
     for _ in 0..20 {
         time.observe(Micros::millis(700));
         time.observe(Micros::millis(900));
@@ -18,5 +18,5 @@
     for _ in 0..40 {
         time.observe(Micros::millis(6));
     }
-    assert_eq!(time.retransmit_after(), LEAST_RETRANSMIT);
+    assert_eq!(time.retransmit_after(), MIN_RETRANSMIT);
 }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -1,17 +1,17 @@
-//! What the leading controller does: rounds of offers and writes, and the fleet.
+//! What the leading controller does: scheduling cycles of offers and writes, and the fleet.
 
 mod batches;
-mod rentals;
+mod provisioning;
 
 use crate::clock::sleep;
-use crate::cloud::MAX_RETURN;
-use crate::controller::Node;
-use crate::election::{self, Leadership};
-use crate::http::within;
-use crate::rebuild;
+use crate::cloud::MAX_MACHINES_PER_TERMINATION;
+use crate::controller::Controller;
+use crate::election::{self, LeaderLease};
+use crate::http::timeout;
+use crate::kv::{Change, Condition, Urgency};
 use crate::scheduler::{JobId, MachineId, MachineType, Scheduler};
-use crate::state::{Change, Condition, Urgency};
-use crate::store::{LEADER, MACHINE_TYPES, RentalRecord, View, ViewChange};
+use crate::state_loss;
+use crate::store::{LEADER, MACHINE_TYPES, ProvisioningRecord, View, ViewChange};
 use crate::units::Micros;
 use event_listener::Event;
 use futures_lite::{FutureExt, future};
@@ -21,43 +21,43 @@
 use std::collections::{BTreeMap, HashSet};
 
 use batches::write_batch;
-use rentals::{finish_rentals, rent};
+use provisioning::{provision, resume_provisioning};
 
 /// Pause before a transaction is sent again.
 const RETRY_PAUSE: Micros = Micros::millis(120);
-/// Most time between two rounds.
-const ROUND_EVERY: Micros = Micros::millis(200);
-/// How long a round waits for more reports to come in.
-const GATHER: Micros = Micros::millis(15);
-/// How long a report's answer waits for its round.
-const ROUND_WITHIN: Micros = Micros::millis(700);
-/// Batches written in one round.
-const BATCHES_PER_ROUND: usize = 4;
+/// Most time between two scheduling cycles.
+const MAX_CYCLE_INTERVAL: Micros = Micros::millis(200);
+/// How long a scheduling cycle waits for more reports to come in.
+const COALESCE_WINDOW: Micros = Micros::millis(15);
+/// How long a heartbeat's answer waits for its round.
+const CYCLE_TIMEOUT: Micros = Micros::millis(700);
+/// Batches written in one scheduling cycle.
+const MAX_BATCHES_PER_CYCLE: usize = 4;
 /// Room left in a transaction of 64 KiB for its conditions.
 pub(crate) const BATCH_BYTES: usize = 36 * 1024;
 /// How often the fleet is looked at.
-const FLEET_EVERY: Micros = Micros::millis(500);
+const FLEET_INTERVAL: Micros = Micros::millis(500);
 /// Reading the machine list for longer than this is told: machines that died are then found late.
-const SLOW_LIST: Micros = Micros::secs(15);
+const SLOW_MACHINE_LIST: Micros = Micros::secs(15);
 /// How often the machine types are read.
-const MACHINE_TYPES_EVERY: Micros = Micros::secs(30);
+const MACHINE_TYPES_INTERVAL: Micros = Micros::secs(30);
 
 /// A term of leading.
-pub struct Leading {
-    leadership: Leadership,
+pub struct LeaderTerm {
+    leadership: LeaderLease,
     /// The scheduler of this term.
     pub scheduler: RefCell<Scheduler>,
     work: Event,
-    begun: Cell<u64>,
-    ended: Cell<u64>,
-    round_ended: Event,
-    rentals: RefCell<BTreeMap<String, RentalRecord>>,
-    rental_requests_made: Cell<u64>,
+    started_cycles: Cell<u64>,
+    completed_cycles: Cell<u64>,
+    cycle_completed: Event,
+    provisioning: RefCell<BTreeMap<String, ProvisioningRecord>>,
+    provisioning_requests_sent: Cell<u64>,
 }
 
-impl Leading {
+impl LeaderTerm {
     /// A term that begins with what the view holds.
-    pub fn new(node: &Node, leadership: Leadership) -> Leading {
+    pub fn new(node: &Controller, leadership: LeaderLease) -> LeaderTerm {
         let now = node.clock.now();
         let mut scheduler = Scheduler::new(
             node.settings.scheduler_config(&node.platform),
@@ -70,11 +70,11 @@
         if let Some(machine_types) = &view.machine_types {
             scheduler.set_machine_types(&machine_types.value);
         }
-        let rentals = view.rentals.clone();
-        for record in rentals.values() {
+        let provisioning = view.provisioning.clone();
+        for record in provisioning.values() {
             if let Some(machines) = &record.machines {
                 let age = Micros(node.clock.unix_time().saturating_sub(record.at));
-                scheduler.inherit_rented(&record.pool(), machines, age, now);
+                scheduler.inherit_provisioned(&record.pool(), machines, age, now);
             }
         }
         for id in view.jobs.keys() {
@@ -88,15 +88,15 @@
         if view.loss.as_ref().is_some_and(|l| !l.value.confirmed) {
             scheduler.begin_rebuild(view.losses(), now);
         }
-        Leading {
+        LeaderTerm {
             leadership,
             scheduler: RefCell::new(scheduler),
             work: Event::new(),
-            begun: Cell::new(0),
-            ended: Cell::new(0),
-            round_ended: Event::new(),
-            rentals: RefCell::new(rentals),
-            rental_requests_made: Cell::new(0),
+            started_cycles: Cell::new(0),
+            completed_cycles: Cell::new(0),
+            cycle_completed: Event::new(),
+            provisioning: RefCell::new(provisioning),
+            provisioning_requests_sent: Cell::new(0),
         }
     }
 
@@ -110,25 +110,25 @@
         self.leadership.lease
     }
 
-    /// Whether orders may be given: the lease certainly lasts.
-    pub fn may_order(&self, now: Micros) -> bool {
+    /// Whether commands may be given: the lease certainly lasts.
+    pub fn may_send_commands(&self, now: Micros) -> bool {
         self.leadership.is_valid(now)
     }
 
-    /// Waits for a round that begins after this call, but not for long.
-    pub async fn round_after_now(&self) {
-        let target = self.begun.get() + 1;
+    /// Waits for a scheduling cycle that begins after this call, but not for long.
+    pub async fn await_next_cycle(&self) {
+        let target = self.started_cycles.get() + 1;
         self.work.notify(usize::MAX);
         let wait = async {
             loop {
-                let ended = self.round_ended.listen();
-                if self.ended.get() >= target {
+                let ended = self.cycle_completed.listen();
+                if self.completed_cycles.get() >= target {
                     return;
                 }
                 ended.await;
             }
         };
-        within(ROUND_WITHIN, wait).await;
+        timeout(CYCLE_TIMEOUT, wait).await;
     }
 
     fn leader_condition(&self) -> Condition {
@@ -139,44 +139,44 @@
     }
 }
 
-/// Leads until the term is over; says why.
-pub async fn lead(node: &Node, leading: &Leading) -> &'static str {
+/// Leads until the term has ended; says why.
+pub async fn run_term(node: &Controller, leading: &LeaderTerm) -> &'static str {
     // The leader does most of the reading and writing: half of the budget is its own.
     let limits = &node.platform.facts.state;
     node.state
         .set_share(limits.rps / 2.0, limits.write_rps / 2.0);
-    let duties = rounds(node, leading)
-        .or(news(node, leading))
-        .or(machine_types(node, leading))
-        .or(listing(node, leading))
-        .or(fleet(node, leading));
-    election::keep(node, &leading.leadership).or(duties).await
+    let duties = run_scheduling_cycles(node, leading)
+        .or(watch_view_changes(node, leading))
+        .or(refresh_machine_types(node, leading))
+        .or(refresh_machine_list(node, leading))
+        .or(scale_fleet(node, leading));
+    election::hold(node, &leading.leadership).or(duties).await
 }
 
-/// The duty that starts a round as soon as the view has something new.
-async fn news(node: &Node, leading: &Leading) -> &'static str {
+/// The duty that starts a scheduling cycle as soon as the view has something new.
+async fn watch_view_changes(node: &Controller, leading: &LeaderTerm) -> &'static str {
     loop {
-        node.store.news.listen().await;
+        node.store.change_notifications.listen().await;
         leading.work.notify(usize::MAX);
     }
 }
 
-/// The duty that runs the rounds.
-async fn rounds(node: &Node, leading: &Leading) -> &'static str {
+/// The duty that runs the scheduling cycles.
+async fn run_scheduling_cycles(node: &Controller, leading: &LeaderTerm) -> &'static str {
     loop {
         let work = leading.work.listen();
         let pause = async {
-            sleep(ROUND_EVERY).await;
+            sleep(MAX_CYCLE_INTERVAL).await;
         };
         work.or(pause).await;
-        sleep(GATHER).await;
-        leading.begun.set(leading.begun.get() + 1);
-        take_news(node, leading);
+        sleep(COALESCE_WINDOW).await;
+        leading.started_cycles.set(leading.started_cycles.get() + 1);
+        apply_view_changes(node, leading);
         let now = node.clock.now();
-        if leading.may_order(now) {
-            leading.scheduler.borrow_mut().round(now);
+        if leading.may_send_commands(now) {
+            leading.scheduler.borrow_mut().run_cycle(now);
         }
-        for _ in 0..BATCHES_PER_ROUND {
+        for _ in 0..MAX_BATCHES_PER_CYCLE {
             let short = node.state.writes_are_short();
             let batch = leading.scheduler.borrow_mut().next_batch(
                 node.platform.facts.state.txn_ops,
@@ -197,8 +197,8 @@
         for detail in details {
             debug!("{detail}");
         }
-        leading.ended.set(leading.begun.get());
-        leading.round_ended.notify(usize::MAX);
+        leading.completed_cycles.set(leading.started_cycles.get());
+        leading.cycle_completed.notify(usize::MAX);
     }
 }
 
@@ -212,14 +212,14 @@
 }
 
 /// Hands the view's news to the scheduler.
-fn take_news(node: &Node, leading: &Leading) {
+fn apply_view_changes(node: &Controller, leading: &LeaderTerm) {
     let now = node.clock.now();
     let mut scheduler = leading.scheduler.borrow_mut();
     for seen in node.store.take_changes() {
         let view = node.store.view.borrow();
         match seen {
             ViewChange::Job(id) => add_job(&mut scheduler, &view, &id, now),
-            ViewChange::End(id) => {
+            ViewChange::JobEnded(id) => {
                 if let Some(end) = view.end(&id) {
                     scheduler.end_job(&id, end);
                 }
@@ -231,7 +231,7 @@
 }
 
 /// The duty that reads the machine types and keeps them for controllers that can't.
-async fn machine_types(node: &Node, leading: &Leading) -> &'static str {
+async fn refresh_machine_types(node: &Controller, leading: &LeaderTerm) -> &'static str {
     loop {
         let pause = match node.cloud.machine_types().await {
             Ok(machine_types) => {
@@ -244,15 +244,15 @@
                     let put = Change::put(MACHINE_TYPES.into(), json!(machine_types));
                     let when = [leading.leader_condition()];
                     if let Err(e) = node.state.txn(Urgency::Now, &when, &[put]).await {
-                        debug!("event=flavors_not_written error={:?}", e.to_string());
+                        debug!("event=machine_types_write_failed error={:?}", e.to_string());
                         sleep(Micros::millis(500)).await;
                         continue;
                     }
                 }
-                MACHINE_TYPES_EVERY
+                MACHINE_TYPES_INTERVAL
             }
             Err(e) => {
-                debug!("event=flavors_failed error={:?}", e.to_string());
+                debug!("event=machine_types_failed error={:?}", e.to_string());
                 Micros::secs(1)
             }
         };
@@ -270,7 +270,7 @@
 }
 
 /// The duty that reads the machine list.
-async fn listing(node: &Node, leading: &Leading) -> &'static str {
+async fn refresh_machine_list(node: &Controller, leading: &LeaderTerm) -> &'static str {
     let every = Micros::from_secs_f64((4.0 / node.platform.facts.cloud.rps).max(2.0));
     loop {
         // What came or went while the pages were read may stand in none or in an old one of them.
@@ -278,73 +278,76 @@
         match node.cloud.list().await {
             Ok(list) => {
                 let took = node.clock.now().since(asked_at);
-                if took > SLOW_LIST {
-                    warn!("event=list_slow machines={} took={took}", list.len());
+                if took > SLOW_MACHINE_LIST {
+                    warn!(
+                        "event=machine_list_slow machines={} took={took}",
+                        list.len()
+                    );
                 }
                 let mut scheduler = leading.scheduler.borrow_mut();
                 scheduler.on_list(&list, asked_at);
             }
-            Err(e) => debug!("event=list_failed error={:?}", e.to_string()),
+            Err(e) => debug!("event=machine_list_failed error={:?}", e.to_string()),
         }
         sleep(every).await;
     }
 }
 
-/// The duty that rents and gives back machines.
-async fn fleet(node: &Node, leading: &Leading) -> &'static str {
-    finish_rentals(node, leading).await;
+/// The duty that rents and terminates machines.
+async fn scale_fleet(node: &Controller, leading: &LeaderTerm) -> &'static str {
+    resume_provisioning(node, leading).await;
     loop {
-        sleep(FLEET_EVERY).await;
+        sleep(FLEET_INTERVAL).await;
         let now = node.clock.now();
-        node.look_for_standstill(now);
-        if !leading.may_order(now) {
+        node.detect_pause(now);
+        if !leading.may_send_commands(now) {
             // Nothing else may be decided now, but a cancelled task must go, whoever leads by then: unless this
             // controller is alone, it would have heard of another leader.
-            if !node.is_alone() && node.known().token == leading.token() {
+            if !node.is_isolated() && node.cluster_status().token == leading.token() {
                 let unix_time = node.clock.unix_time();
                 let overdue = leading.scheduler.borrow_mut().overdue_cancels(unix_time);
-                give_back(node, leading, &overdue, |_| true).await;
+                terminate(node, leading, &overdue, |_| true).await;
             }
             continue;
         }
         let plan = {
             let mut scheduler = leading.scheduler.borrow_mut();
             scheduler.set_controllers(&node.controllers(), now);
-            if node.hears_of_a_cut() {
+            if node.peer_reports_partition() {
                 scheduler.end_calm();
             }
             scheduler.plan_fleet(now, node.clock.unix_time())
         };
         if leading.scheduler.borrow_mut().look_at_rebuild(now)
-            && let Err(why) = rebuild::finish(node, &leading.leadership, true).await
+            && let Err(why) = state_loss::finish(node, &leading.leadership, true).await
         {
             return why;
         }
-        let still = |now| leading.may_order(now);
-        let give_back = give_back(node, leading, &plan.give_back, still);
-        let rent = rent(node, leading, &plan.rent);
-        future::zip(give_back, rent).await;
+        let still = |now| leading.may_send_commands(now);
+        let terminate = terminate(node, leading, &plan.terminate, still);
+        let provision = provision(node, leading, &plan.provision);
+        future::zip(terminate, provision).await;
     }
 }
 
-async fn give_back(
-    node: &Node,
-    leading: &Leading,
+async fn terminate(
+    node: &Controller,
+    leading: &LeaderTerm,
     machines: &[MachineId],
     may: impl Fn(Micros) -> bool,
 ) {
-    for part in machines.chunks(MAX_RETURN) {
-        // Guards against a leader that stood still or was cut off in between: by now another may use these machines.
+    for part in machines.chunks(MAX_MACHINES_PER_TERMINATION) {
+        // Guards against a leader that was paused or was cut off in between: by now another may use these machines.
         if !may(node.clock.now()) {
             return;
         }
-        match node.cloud.give_back(part).await {
+        match node.cloud.terminate(part).await {
             Ok(()) => {
-                info!("event=machines_returned count={}", part.len());
+                info!("event=machines_terminated count={}", part.len());
                 let now = node.clock.now();
-                leading.scheduler.borrow_mut().returned(part, now);
+                leading.scheduler.borrow_mut().on_terminated(part, now);
                 let gone: HashSet<&MachineId> = part.iter().collect();
-                for record in leading.rentals.borrow_mut().values_mut() {
+                for record in leading.provisioning.borrow_mut().values_mut() {
                     if let Some(machines) = &mut record.machines {
                         machines.retain(|m| !gone.contains(m));
                     }
@@ -352,7 +355,7 @@
                 leading.work.notify(usize::MAX);
             }
             Err(e) => {
-                info!("event=return_failed error={:?}", e.to_string());
+                info!("event=termination_failed error={:?}", e.to_string());
                 return;
             }
         }
--- a/src/leader/batches.rs
+++ b/src/leader/batches.rs
@@ -1,44 +1,44 @@
 //! Batches of the scheduler's writes as transactions, each under the leader key, until their outcome is certain.
 
-use super::{Leading, RETRY_PAUSE};
+use super::{LeaderTerm, RETRY_PAUSE};
 use crate::clock::sleep;
-use crate::controller::Node;
-use crate::scheduler::{End, Final, JobId, Write};
-use crate::state::{Change, Condition, Outcome, StateError, Urgency};
+use crate::controller::Controller;
+use crate::kv::{Change, Condition, KvError, Outcome, Urgency};
+use crate::scheduler::{JobEnd, JobId, JobOutcome, Write};
 use crate::store::{LEADER, chunk_key, end_key, images_key, job_key};
 use log::{debug, info, warn};
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// Writes a batch until its outcome is certain; an error says why the term is over.
+/// Writes a batch until its outcome is certain; an error says why the term has ended.
 pub(super) async fn write_batch(
-    node: &Node,
-    leading: &Leading,
+    node: &Controller,
+    leading: &LeaderTerm,
     batch: &[Write],
 ) -> Result<(), &'static str> {
     let at = node.clock.unix_time();
     let (when, changes) = transaction(leading, batch, at);
     let mut unsure = false;
     loop {
-        let (outcome, again) = node.state.txn_twice(&when, &changes).await;
+        let (outcome, again) = node.state.txn_with_retransmit(&when, &changes).await;
         unsure |= again;
         match outcome {
             Ok(Outcome::Applied(revision)) => {
-                node.store.note_answer();
-                node.store.note_commits(revision, &changes);
+                node.store.mark_reachable();
+                node.store.record_commits(revision, &changes);
                 applied(leading, batch, revision);
                 return Ok(());
             }
             Ok(Outcome::Conflict(failed)) => {
-                node.store.note_answer();
-                return settle(node, leading, batch, &failed, unsure, at).await;
+                node.store.mark_reachable();
+                return resolve_conflict(node, leading, batch, &failed, unsure, at).await;
             }
-            Err(StateError::Refused(e)) => debug!("event=write_refused error={e:?}"),
-            Err(e @ (StateError::Malformed(_) | StateError::NoLease | StateError::TooOld)) => {
+            Err(KvError::Refused(e)) => debug!("event=write_refused error={e:?}"),
+            Err(e @ (KvError::Malformed(_) | KvError::NoLease | KvError::TooOld)) => {
                 warn!("event=write_failed error={:?}", e.to_string());
                 return Err("a write was found senseless");
             }
-            Err(StateError::Unknown(e)) => {
+            Err(KvError::Unknown(e)) => {
                 debug!("event=write_unanswered error={e:?}");
                 unsure = true;
             }
@@ -48,7 +48,7 @@
 }
 
 /// A batch was applied at this revision.
-fn applied(leading: &Leading, batch: &[Write], revision: u64) {
+fn applied(leading: &LeaderTerm, batch: &[Write], revision: u64) {
     let mut scheduler = leading.scheduler.borrow_mut();
     scheduler.batch_applied(batch, revision);
     for write in batch {
@@ -59,7 +59,7 @@
 }
 
 /// The conditions and changes of a batch.
-fn transaction(leading: &Leading, batch: &[Write], at: u64) -> (Vec<Condition>, Vec<Change>) {
+fn transaction(leading: &LeaderTerm, batch: &[Write], at: u64) -> (Vec<Condition>, Vec<Change>) {
     let mut when = BTreeMap::new();
     let leader = leading.leader_condition();
     when.insert(leader.key, leader.version);
@@ -124,18 +124,18 @@
     (when, changes)
 }
 
-fn done_record(tasks: u32, at: u64) -> End {
-    End {
-        how: Final::Done,
+fn done_record(tasks: u32, at: u64) -> JobEnd {
+    JobEnd {
+        outcome: JobOutcome::Done,
         at,
         done: tasks,
     }
 }
 
-/// A batch met a conflict: the term is over, a job was over, or an earlier try had been applied after all.
-async fn settle(
-    node: &Node,
-    leading: &Leading,
+/// A batch met a conflict: the term has ended, a job was over, or an earlier try had been applied after all.
+async fn resolve_conflict(
+    node: &Controller,
+    leading: &LeaderTerm,
     batch: &[Write],
     failed: &[String],
     unsure: bool,
@@ -144,7 +144,7 @@
     if failed.iter().any(|k| k == LEADER) {
         return Err("the leader key is another's");
     }
-    if unsure && let Some(revision) = applied_before(node, batch, at).await? {
+    if unsure && let Some(revision) = find_applied_revision(node, batch, at).await? {
         applied(leading, batch, revision);
         return Ok(());
     }
@@ -168,8 +168,8 @@
 }
 
 /// Whether a batch, of which a try went unanswered, was applied; and if so, at which revision.
-async fn applied_before(
-    node: &Node,
+async fn find_applied_revision(
+    node: &Controller,
     batch: &[Write],
     at: u64,
 ) -> Result<Option<u64>, &'static str> {
@@ -195,7 +195,7 @@
         match node.state.get(Urgency::Now, &key).await {
             Ok(Ok(item)) => return Ok((Some(item.value) == expected).then_some(item.version)),
             Ok(Err(revision)) => return Ok(expected.is_none().then_some(revision)),
-            Err(StateError::Refused(_) | StateError::Unknown(_)) => {
+            Err(KvError::Refused(_) | KvError::Unknown(_)) => {
                 sleep(RETRY_PAUSE).await;
             }
             Err(_) => return Err("a read was found senseless"),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,20 +4,19 @@
 
 #![warn(missing_docs)]
 
-pub mod cancellations;
+pub mod api;
+pub mod cancellation;
 pub mod clock;
 pub mod cloud;
 pub mod config;
 pub mod controller;
 pub mod election;
 pub mod http;
+pub mod kv;
 pub mod leader;
 pub mod net;
 pub mod peer;
-pub mod rebuild;
 pub mod scheduler;
-pub mod state;
+pub mod state_loss;
 pub mod store;
 pub mod units;
-pub mod users;
-pub mod workers;
--- a/src/main.rs
+++ b/src/main.rs
@@ -4,7 +4,7 @@
 use clap::Parser;
 use log::{LevelFilter, warn};
 use ravenhead::config::{ConfigError, Platform, Settings};
-use ravenhead::controller::{self, Node};
+use ravenhead::controller::{self, Controller};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -37,7 +37,7 @@
         }
         Ok((platform, settings)) => {
             let ex = LocalExecutor::new();
-            let node = Rc::new(Node::new(platform, settings));
+            let node = Rc::new(Controller::new(platform, settings));
             match async_io::block_on(ex.run(controller::run(&ex, node))) {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(e) => {
@@ -80,6 +80,6 @@
         })
         .init();
     if level.is_none() && !asked.is_empty() {
-        warn!("event=odd_log_level value={asked:?} using=info");
+        warn!("event=invalid_log_level value={asked:?} using=info");
     }
 }
--- a/src/net.rs
+++ b/src/net.rs
@@ -45,7 +45,7 @@
 }
 
 /// Lets this thread use another network.
-pub fn connect_by(network: Option<Rc<dyn Network>>) {
+pub fn use_network(network: Option<Rc<dyn Network>>) {
     OTHER.set(network);
 }
 
@@ -74,7 +74,7 @@
     }
 
     /// Whether something can be read: waits for it without taking it; false at the end.
-    pub async fn is_spoken_on(&self) -> io::Result<bool> {
+    pub async fn wait_readable(&self) -> io::Result<bool> {
         let mut byte = [0u8; 1];
         let read = match self {
             Stream::Tcp(tcp) => tcp.peek(&mut byte).await,
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,10 +1,10 @@
 //! Controllers among themselves: `bitcode` frames over TCP, one request and one reply at a time on a connection.
 
-use crate::cancellations::{Cancellation, Gone};
+use crate::cancellation::{Cancellation, ResidueCleared};
 use crate::clock::Clock;
-use crate::http::within;
+use crate::http::timeout;
 use crate::net::Stream;
-use crate::scheduler::{MAX_TASKS, Order, Report};
+use crate::scheduler::{AgentCommand, Heartbeat, MAX_TASKS};
 use crate::units::Micros;
 use bitcode::{Decode, Encode};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -20,12 +20,12 @@
 /// report of 64 KiB stays well below.
 const MAX_FRAME: usize = MAX_TASKS as usize * NAME_BYTES + 512 * 1024;
 /// How long an idle connection is kept open by the side that answers.
-const IDLE_WITHIN: Micros = Micros::secs(60);
+const IDLE_TIMEOUT: Micros = Micros::secs(60);
 /// How long the side that asks keeps one: well below the other's, so that it does not write into one that ends.
-const KEPT_WITHIN: Micros = Micros::secs(20);
+const MAX_IDLE_AGE: Micros = Micros::secs(20);
 /// What a controller knows of who leads; every frame carries it.
 #[derive(Debug, Clone, Default, PartialEq, Encode, Decode)]
-pub struct Knowledge {
+pub struct ClusterStatus {
     /// The highest token known.
     pub token: u64,
     /// Who holds it, if that is known and it is held.
@@ -33,7 +33,7 @@
     /// Whether the sender reaches the state service.
     pub state_reachable: bool,
     /// Whether another controller does not answer the sender.
-    pub misses_one: bool,
+    pub peer_unreachable: bool,
     /// Drawn anew by every process.
     pub incarnation: u64,
     /// Whether the sender itself leads, with or without a lease.
@@ -42,36 +42,36 @@
 
 /// A request to another controller.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub enum Request {
+pub enum PeerRequest {
     /// The knowledge, and what there is to tell of cancelled jobs.
     Ping {
         /// Those that the other was not told of yet.
         cancelled: Vec<Cancellation>,
         /// Cancelled jobs of which nothing is left on these machines.
-        gone: Vec<Gone>,
+        gone: Vec<ResidueCleared>,
     },
-    /// A worker's report, to be answered by the leader.
-    Report {
+    /// A worker's heartbeat, to be answered by the leader.
+    Heartbeat {
         /// Whether it may be passed on once more.
         relay: bool,
         /// The controller that the worker reported to.
         via: String,
-        /// The report.
-        report: Report,
+        /// The heartbeat.
+        report: Heartbeat,
     },
 }
 
 /// A reply to another controller.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub enum Reply {
+pub enum PeerReply {
     /// Just the knowledge.
     Pong,
-    /// The leader's answer to a report.
+    /// The leader's answer to a heartbeat.
     Answer {
         /// Its token.
         token: u64,
-        /// Its orders.
-        orders: Vec<Order>,
+        /// Its commands.
+        commands: Vec<AgentCommand>,
     },
     /// The leader could not be asked.
     NoLeader,
@@ -81,7 +81,7 @@
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Frame<T> {
     /// What the sender knows.
-    pub known: Knowledge,
+    pub cluster_status: ClusterStatus,
     /// The message.
     pub message: T,
 }
@@ -129,31 +129,34 @@
     /// Idle connections and since when, the longest idle first.
     idle: RefCell<Vec<(Micros, Stream)>>,
     /// Idle connections that are kept at the most.
-    most_idle: usize,
+    max_idle: usize,
 }
 
 impl Peer {
     /// One without connections.
-    pub fn new(node: String, addr: SocketAddr, most_idle: usize) -> Peer {
+    pub fn new(node: String, addr: SocketAddr, max_idle: usize) -> Peer {
         Peer {
             node,
             addr,
             idle: RefCell::default(),
-            most_idle,
+            max_idle,
         }
     }
 
     /// Sends a request and waits for the reply.
     ///
     /// Guards against taking the end of a kept connection for a controller that does not answer: the request goes out
-    /// once more on a new one. It may be carried out twice, which for a report or a ping is harmless.
+    /// once more on a new one. It may be carried out twice, which for a heartbeat or a ping is harmless.
     pub async fn call(
         &self,
-        known: Knowledge,
-        message: Request,
+        cluster_status: ClusterStatus,
+        message: PeerRequest,
         limit: Micros,
-    ) -> Result<Frame<Reply>, PeerError> {
-        let frame = Frame { known, message };
+    ) -> Result<Frame<PeerReply>, PeerError> {
+        let frame = Frame {
+            cluster_status,
+            message,
+        };
         let work = async {
             if let Some(kept) = self.take_idle()
                 && let Ok(reply) = self.exchange(kept, &frame).await
@@ -163,7 +166,7 @@
             let fresh = Stream::connect(self.addr).await?;
             Ok(self.exchange(fresh, &frame).await?)
         };
-        let result = within(limit, work)
+        let result = timeout(limit, work)
             .await
             .unwrap_or(Err(PeerError::TimedOut));
         if result.is_err() {
@@ -175,19 +178,19 @@
     fn take_idle(&self) -> Option<Stream> {
         let mut idle = self.idle.borrow_mut();
         let now = Clock.now();
-        idle.retain(|(since, _)| now.since(*since) < KEPT_WITHIN);
+        idle.retain(|(since, _)| now.since(*since) < MAX_IDLE_AGE);
         idle.pop().map(|(_, stream)| stream)
     }
 
     async fn exchange(
         &self,
         mut stream: Stream,
-        frame: &Frame<Request>,
-    ) -> io::Result<Frame<Reply>> {
+        frame: &Frame<PeerRequest>,
+    ) -> io::Result<Frame<PeerReply>> {
         write_frame(&mut stream, frame).await?;
         let reply = read_frame(&mut stream).await?;
         let mut idle = self.idle.borrow_mut();
-        if idle.len() < self.most_idle {
+        if idle.len() < self.max_idle {
             idle.push((Clock.now(), stream));
         }
         Ok(reply)
@@ -197,13 +200,13 @@
 /// Serves one connection of another controller until it ends, idles too long or sends a broken frame.
 pub async fn serve<F, Fut>(mut stream: Stream, handle: F)
 where
-    F: Fn(Frame<Request>) -> Fut,
-    Fut: Future<Output = Frame<Reply>>,
+    F: Fn(Frame<PeerRequest>) -> Fut,
+    Fut: Future<Output = Frame<PeerReply>>,
 {
-    while let Some(Ok(frame)) = within(IDLE_WITHIN, read_frame(&mut stream)).await {
+    while let Some(Ok(frame)) = timeout(IDLE_TIMEOUT, read_frame(&mut stream)).await {
         let reply = handle(frame).await;
         if !matches!(
-            within(IDLE_WITHIN, write_frame(&mut stream, &reply)).await,
+            timeout(IDLE_TIMEOUT, write_frame(&mut stream, &reply)).await,
             Some(Ok(()))
         ) {
             return;
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::cancellations::Gone;
+use crate::cancellation::ResidueCleared;
 use crate::net::Listener;
 use crate::scheduler::{JobId, MachineId};
 use futures_lite::future;
 
 // Guards against what cost two hundred live machines on a quiet day: the other side had closed a connection that
-// was idle, the next report met its end, and the controller was taken to be out of reach.
+// was idle, the next heartbeat met its end, and the controller was taken to be out of reach.
 #[test]
 fn a_kept_connection_that_has_ended_is_no_failure() {
     async_io::block_on(async {
@@ -16,10 +16,10 @@
         let server = async {
             for _ in 0..2 {
                 let mut stream = listener.accept().await.unwrap();
-                let request: Frame<Request> = read_frame(&mut stream).await.unwrap();
+                let request: Frame<PeerRequest> = read_frame(&mut stream).await.unwrap();
                 let reply = Frame {
-                    known: request.known,
-                    message: Reply::Pong,
+                    cluster_status: request.cluster_status,
+                    message: PeerReply::Pong,
                 };
                 write_frame(&mut stream, &reply).await.unwrap();
                 // The connection ends here, though the asking side keeps it.
@@ -28,12 +28,12 @@
         let asking = async {
             for _ in 0..2 {
                 let limit = Micros::secs(30);
-                let ping = Request::Ping {
+                let ping = PeerRequest::Ping {
                     cancelled: Vec::new(),
                     gone: Vec::new(),
                 };
-                let reply = peer.call(Knowledge::default(), ping, limit).await;
-                assert_eq!(reply.expect("a reply").message, Reply::Pong);
+                let reply = peer.call(ClusterStatus::default(), ping, limit).await;
+                assert_eq!(reply.expect("a reply").message, PeerReply::Pong);
             }
         };
         future::zip(server, asking).await;
@@ -53,9 +53,9 @@
         .iter()
         .map(|(job, machine)| (JobId((*job).into()), MachineId((*machine).into())))
         .collect();
-    let found: Vec<Gone> = pairs
+    let found: Vec<ResidueCleared> = pairs
         .iter()
-        .map(|(job, machine)| Gone {
+        .map(|(job, machine)| ResidueCleared {
             job: job.clone(),
             machine: machine.clone(),
         })
@@ -73,8 +73,8 @@
         machines: machines.collect(),
     };
     let ping = Frame {
-        known: Knowledge::default(),
-        message: Request::Ping {
+        cluster_status: ClusterStatus::default(),
+        message: PeerRequest::Ping {
             cancelled: vec![cancelled],
             gone: Vec::new(),
         },
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -1,9 +1,9 @@
-//! The machines that a round may offer jobs to, indexed by their free room, so that what is full is never looked at.
+//! The machines that a scheduling cycle may offer jobs to, indexed by their free room, so that what is full is never looked at.
 
 use super::ids::MachineId;
-use super::machine::{MOST_TASKS, Machine};
+use super::machine::{MAX_TASKS_PER_MACHINE, Machine};
 use super::offers::Pass;
-use crate::units::Room;
+use crate::units::Resources;
 use ravenhead_index::FirstFitByKind;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -33,8 +33,12 @@
     ];
 
     /// The kind that a pass asks for, for a task of this size.
-    fn of(need: &Room, pass: &Pass) -> Kind {
-        match (pass.beside_cards, need.cards > 0, pass.spot == Some(true)) {
+    fn of(need: &Resources, pass: &Pass) -> Kind {
+        match (
+            pass.beside_cards,
+            need.accelerators > 0,
+            pass.spot == Some(true),
+        ) {
             (true, _, _) => Kind::UsesCards,
             (false, false, false) => Kind::Any,
             (false, false, true) => Kind::Spot,
@@ -44,15 +48,15 @@
     }
 }
 
-/// A machine as a round sees it.
+/// A machine as a scheduling cycle sees it.
 #[derive(Debug, Clone)]
 pub(super) struct Candidate {
     pub(super) id: MachineId,
     spot: bool,
-    free: Room,
+    free: Resources,
     /// All of its accelerators.
-    cards: i64,
-    /// Tasks that its next report will name.
+    accelerators: i64,
+    /// Tasks that its next heartbeat will name.
     tasks: usize,
 }
 
@@ -62,25 +66,26 @@
             id: id.clone(),
             spot: m.spot,
             free: m.free(),
-            cards: m.total.cards,
+            accelerators: m.total.accelerators,
             tasks: m.reported_tasks(),
         }
     }
 
-    pub(super) fn uses_cards(&self) -> bool {
-        self.free.cards < self.cards
+    pub(super) fn uses_accelerators(&self) -> bool {
+        self.free.accelerators < self.accelerators
     }
 
     /// Whether a task fits; what takes no accelerators leaves so much for each free one beside others in use.
-    pub(super) fn holds(&self, need: &Room, beside_a_card: Room) -> bool {
-        if self.tasks >= MOST_TASKS {
+    pub(super) fn holds(&self, need: &Resources, accelerator_headroom: Resources) -> bool {
+        if self.tasks >= MAX_TASKS_PER_MACHINE {
             return false;
         }
-        if need.cards > 0 || !self.uses_cards() {
+        if need.accelerators > 0 || !self.uses_accelerators() {
             return self.free.holds(need);
         }
-        let free_cards = Room::new(0.0, 1.0, 0.0).cards.max(1);
-        let kept = beside_a_card.times((self.free.cards / free_cards).max(0) as usize);
+        let free_cards = Resources::new(0.0, 1.0, 0.0).accelerators.max(1);
+        let kept =
+            accelerator_headroom.times((self.free.accelerators / free_cards).max(0) as usize);
         (self.free - kept).holds(need)
     }
 
@@ -89,22 +94,22 @@
         let is_of_kind = match kind {
             Kind::Any => true,
             Kind::Spot => self.spot,
-            Kind::WithFreeCard => self.free.cards > 0,
-            Kind::SpotWithFreeCard => self.spot && self.free.cards > 0,
-            Kind::UsesCards => self.uses_cards(),
+            Kind::WithFreeCard => self.free.accelerators > 0,
+            Kind::SpotWithFreeCard => self.spot && self.free.accelerators > 0,
+            Kind::UsesCards => self.uses_accelerators(),
         };
-        if !is_of_kind || self.tasks >= MOST_TASKS {
-            return Index::NOTHING;
+        if !is_of_kind || self.tasks >= MAX_TASKS_PER_MACHINE {
+            return Index::ABSENT_KEY;
         }
         self.free.amounts()
     }
 }
 
-/// The candidates of a round, in id order.
+/// The candidates of a scheduling cycle, in id order.
 pub(super) struct Candidates {
     machines: Vec<Candidate>,
     index: Index,
-    /// The candidates that have an image or get it, for images that were asked for in this round.
+    /// The candidates that have an image or get it, for images that were asked for in this scheduling cycle.
     by_image: HashMap<String, ImageIndex>,
 }
 
@@ -121,7 +126,7 @@
         if has_image[i] {
             machines[i].amounts(kind)
         } else {
-            Index::NOTHING
+            Index::ABSENT_KEY
         }
     }
 
@@ -146,9 +151,9 @@
     }
 }
 
-/// Which candidates one job is offered to in a round.
+/// Which candidates one job is offered to in a scheduling cycle.
 #[derive(Debug)]
-pub(super) enum Order {
+pub(super) enum SearchOrder {
     /// All of them.
     All,
     /// These, in id order.
@@ -164,7 +169,7 @@
 
 impl Candidates {
     /// The machines that take offers and have room for so much, in id order.
-    pub(super) fn new(machines: &BTreeMap<MachineId, Machine>, smallest: &Room) -> Candidates {
+    pub(super) fn new(machines: &BTreeMap<MachineId, Machine>, smallest: &Resources) -> Candidates {
         let with_room = machines
             .iter()
             .filter(|(_, m)| m.takes_offers() && m.free().holds(smallest));
@@ -196,19 +201,19 @@
     }
 
     /// One more task was placed on a candidate.
-    pub(super) fn place(&mut self, i: usize, need: &Room) {
+    pub(super) fn place(&mut self, i: usize, need: &Resources) {
         self.machines[i].tasks += 1;
         self.take(i, need);
     }
 
     /// Room of a candidate is spoken for.
-    pub(super) fn take(&mut self, i: usize, need: &Room) {
+    pub(super) fn take(&mut self, i: usize, need: &Resources) {
         self.machines[i].free -= *need;
         self.note_room(i);
     }
 
     /// Room of a candidate, which a placement had taken, is free again.
-    pub(super) fn take_back(&mut self, i: usize, need: &Room) {
+    pub(super) fn take_back(&mut self, i: usize, need: &Resources) {
         self.machines[i].free += *need;
         self.machines[i].tasks -= 1;
         self.note_room(i);
@@ -232,7 +237,7 @@
         }
     }
 
-    /// Looks up who has an image, once a round.
+    /// Looks up who has an image, once a scheduling cycle.
     pub(super) fn look_up_image(&mut self, image: &str, machines: &BTreeMap<MachineId, Machine>) {
         if self.by_image.contains_key(image) {
             return;
@@ -245,44 +250,49 @@
         self.by_image.insert(image.to_owned(), known);
     }
 
-    /// The machines of an order that have an image, or were cleared.
-    pub(super) fn with_image(&self, order: &Order, image: &str, cleared: Vec<usize>) -> Order {
-        let Order::Some(some) = order else {
+    /// The machines of a command that have an image, or were cleared.
+    pub(super) fn with_image(
+        &self,
+        order: &SearchOrder,
+        image: &str,
+        cleared: Vec<usize>,
+    ) -> SearchOrder {
+        let SearchOrder::Some(some) = order else {
             let image = image.to_owned();
-            return Order::WithImage { image, cleared };
+            return SearchOrder::WithImage { image, cleared };
         };
         let known = self.by_image.get(image);
         let has_image = |i: usize| known.is_some_and(|known| known.has_image[i]);
         let ready = |i: &&usize| has_image(**i) || cleared.contains(*i);
-        Order::Some(some.iter().filter(ready).copied().collect())
+        SearchOrder::Some(some.iter().filter(ready).copied().collect())
     }
 
     /// The next candidate at or after a place in this order that may have room for a task in this pass: its place in the
     /// order, and which candidate it is.
     pub(super) fn next(
         &mut self,
-        order: &Order,
+        order: &SearchOrder,
         from: usize,
-        need: &Room,
+        need: &Resources,
         pass: &Pass,
     ) -> Option<(usize, usize)> {
         let kind = Kind::of(need, pass);
         match order {
-            Order::Some(some) => {
+            SearchOrder::Some(some) => {
                 let is_of_kind = |i: usize| pass.spot.is_none_or(|s| s == self.machines[i].spot);
                 let rest = some.iter().enumerate().skip(from);
                 let mut of_kind = rest.filter(|(_, i)| is_of_kind(**i));
                 of_kind.next().map(|(place, i)| (place, *i))
             }
-            Order::All => {
+            SearchOrder::All => {
                 let i = self.first_from(kind, from, need)?;
                 Some((i, i))
             }
-            Order::WithImage { image, cleared } => {
+            SearchOrder::WithImage { image, cleared } => {
                 let known = self.by_image.get_mut(image);
                 let amounts = need.amounts();
                 let imaged = known.and_then(|k| k.first_from(&self.machines, kind, from, &amounts));
-                let is_of_kind = |i: &usize| self.machines[*i].amounts(kind) != Index::NOTHING;
+                let is_of_kind = |i: &usize| self.machines[*i].amounts(kind) != Index::ABSENT_KEY;
                 let mut cleared = cleared.iter().copied().filter(|i| *i >= from);
                 let cleared = cleared.find(is_of_kind);
                 let i = imaged.into_iter().chain(cleared).min()?;
@@ -292,7 +302,7 @@
     }
 
     /// The first candidate of a kind at or after a place that has so much room.
-    fn first_from(&mut self, kind: Kind, from: usize, need: &Room) -> Option<usize> {
+    fn first_from(&mut self, kind: Kind, from: usize, need: &Resources) -> Option<usize> {
         let machines = &self.machines;
         let need = need.amounts();
         self.index
@@ -305,7 +315,7 @@
     /// the job to everybody.
     pub(super) fn sample(
         &mut self,
-        need: &Room,
+        need: &Resources,
         size: usize,
         rng: &mut fastrand::Rng,
     ) -> Vec<usize> {
@@ -327,7 +337,7 @@
     fn draw(
         &mut self,
         kind: Kind,
-        need: &Room,
+        need: &Resources,
         size: usize,
         rng: &mut fastrand::Rng,
     ) -> Vec<usize> {
--- a/src/scheduler/orders.rs
+++ b/src/scheduler/commands.rs
@@ -1,19 +1,24 @@
-//! The orders that go into the answer to a report.
+//! The commands that go into the answer to a heartbeat.
 
 use super::Scheduler;
 use super::ids::{MachineId, TaskId};
 use super::job::StopReason;
-use super::machine::Asked;
-use super::messages::{Order, TaskState};
+use super::machine::ExpectedEffect;
+use super::messages::{AgentCommand, TaskState};
 use crate::units::Micros;
-use ravenhead_recovery::Position;
+use ravenhead_recovery::HeartbeatPosition;
 
-/// Most orders in one answer, so that its line stays below the protocol's limit.
-const MOST_ORDERS: usize = 400;
+/// Most commands in one answer, so that its line stays below the protocol's limit.
+const MAX_COMMANDS: usize = 400;
 
 impl Scheduler {
-    /// The orders that go into the answer to a report; none if it is not the newest of its machine any more.
-    pub fn orders_for(&mut self, machine: &MachineId, report: Position, now: Micros) -> Vec<Order> {
+    /// The commands that go into the answer to a heartbeat; none if it is not the newest of its machine any more.
+    pub fn commands_for(
+        &mut self,
+        machine: &MachineId,
+        report: HeartbeatPosition,
+        now: Micros,
+    ) -> Vec<AgentCommand> {
         let newest = self.machines.get(machine).and_then(|m| m.newest);
         if newest == Some(report) {
             self.task_to_move(machine, now);
@@ -25,16 +30,16 @@
             return Vec::new();
         }
         let takes_starts = m.takes_offers();
-        let mut asked: Vec<(TaskId, u64, Asked)> = Vec::new();
-        let mut orders = Vec::new();
+        let mut asked: Vec<(TaskId, u64, ExpectedEffect)> = Vec::new();
+        let mut commands = Vec::new();
         for (task, attempt) in &m.exited {
             // A finish must be written before its worker forgets it.
             let written = self.jobs.get(&task.job).is_none_or(|j| {
                 j.end.is_some() || !j.is_finished(task.index) || j.is_finish_committed(task.index)
             });
             if written {
-                asked.push((task.clone(), *attempt, Asked::Clear));
-                orders.push(Order::Clear {
+                asked.push((task.clone(), *attempt, ExpectedEffect::Clear));
+                commands.push(AgentCommand::Clear {
                     task: task.to_string(),
                     attempt: *attempt,
                 });
@@ -42,12 +47,12 @@
         }
         // After a loss it may be that only the record of its job is missing yet.
         let may_be_known = self.is_rebuilding();
-        for (task, attempt) in m.extra.keys() {
+        for (task, attempt) in m.unexpected_tasks.keys() {
             if may_be_known && !self.jobs.contains_key(&task.job) {
                 continue;
             }
-            asked.push((task.clone(), *attempt, Asked::Stop));
-            orders.push(Order::Stop {
+            asked.push((task.clone(), *attempt, ExpectedEffect::Stop));
+            commands.push(AgentCommand::Stop {
                 task: task.to_string(),
                 attempt: *attempt,
                 slack_s: 0.0,
@@ -71,8 +76,8 @@
                     unsent.push(task);
                 } else if cancelled || p.seen != Some(TaskState::Saving) {
                     // What a cancelled task would save is of no use to anybody.
-                    asked.push((task.clone(), p.attempt, Asked::Stop));
-                    orders.push(Order::Stop {
+                    asked.push((task.clone(), p.attempt, ExpectedEffect::Stop));
+                    commands.push(AgentCommand::Stop {
                         task: task.to_string(),
                         attempt: p.attempt,
                         slack_s: if cancelled { 0.0 } else { slack.ceil() },
@@ -80,10 +85,10 @@
                 }
             } else if never_sent && !takes_starts {
                 unsent.push(task);
-            } else if never_sent && p.committed && starts.len() + orders.len() < MOST_ORDERS {
+            } else if never_sent && p.committed && starts.len() + commands.len() < MAX_COMMANDS {
                 p.sent = Some(report);
-                asked.push((task.clone(), p.attempt, Asked::Run));
-                starts.push(Order::Run {
+                asked.push((task.clone(), p.attempt, ExpectedEffect::Run));
+                starts.push(AgentCommand::Run {
                     task: task.to_string(),
                     attempt: p.attempt,
                 });
@@ -92,12 +97,12 @@
         for task in unsent {
             self.release(&task.job, task.index);
         }
-        orders.truncate(MOST_ORDERS - starts.len());
-        orders.extend(starts);
+        commands.truncate(MAX_COMMANDS - starts.len());
+        commands.extend(starts);
         if let Some(m) = self.machines.get_mut(machine) {
-            m.asked = asked;
+            m.expected_effects = asked;
         }
-        orders
+        commands
     }
 
     /// Whether the machine has placements whose starts wait only for being written.
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -4,12 +4,12 @@
 use super::ids::{MachineId, TaskId};
 use super::job::{Job, StopReason};
 use super::job_spec::{JobSpec, Shape};
-use super::machine::{Life, Machine};
+use super::machine::{Machine, MachineState};
 use super::messages::TaskState;
 use super::offers::zone_takes;
 use super::reserve::Reserve;
 use super::{Scheduler, spec_of};
-use crate::units::{Micros, Room};
+use crate::units::{Micros, Resources};
 use std::collections::HashMap;
 
 /// Room must have been to spare for so long before a machine is consolidated.
@@ -48,7 +48,7 @@
 /// Machines with free room by the images that they have, and what is promised of it.
 struct Targets<'a> {
     by_image: HashMap<&'a str, Vec<(&'a MachineId, &'a Machine)>>,
-    promised: HashMap<&'a MachineId, Room>,
+    promised: HashMap<&'a MachineId, Resources>,
     looks: usize,
 }
 
@@ -56,7 +56,7 @@
     /// Picks machines to consolidate, or lets go of them when their room is needed after all.
     pub(super) fn plan_consolidation(&mut self, reserve: Option<&Reserve>, now: Micros) {
         // A task that is being moved waits as well; it must not end the consolidation that it comes from.
-        let waits = |j: &Job| j.waiting() > 0 && j.moving_until <= now && !j.at_fault;
+        let waits = |j: &Job| j.waiting() > 0 && j.moving_until <= now && !j.crash_looping;
         self.count_steps(self.job_index.waiting_count() + self.jobs.len());
         let waiting = self.open_jobs().any(waits);
         let services = self
@@ -84,7 +84,7 @@
             let Some(m) = self.machines.get(id) else {
                 continue;
             };
-            if (waiting && !m.is_empty()) || stuck || m.life != Life::Draining {
+            if (waiting && !m.is_empty()) || stuck || m.state != MachineState::Draining {
                 self.let_go(id);
             } else {
                 under_way += 1;
@@ -95,7 +95,7 @@
             return;
         }
         // Nothing is moved while a controller is missed; but one lost ping does not undo the wait for room to spare.
-        if self.liveness.steady_since.is_none() {
+        if self.failure_detector.steady_since.is_none() {
             return;
         }
         let most = 1 + self.consolidation.replicas / REPLICAS_PER_CONSOLIDATION;
@@ -111,7 +111,7 @@
         for machine in self.machines_to_consolidate(reserve, most - under_way) {
             if let Some(m) = self.machines.get_mut(&machine) {
                 m.consolidating = true;
-                m.life = Life::Draining;
+                m.state = MachineState::Draining;
                 self.notes
                     .push(format!("event=machine_consolidating machine={machine}"));
             }
@@ -130,8 +130,8 @@
     fn let_go(&mut self, id: &MachineId) {
         if let Some(m) = self.machines.get_mut(id) {
             m.consolidating = false;
-            if m.life == Life::Draining {
-                m.life = Life::Up;
+            if m.state == MachineState::Draining {
+                m.state = MachineState::Ready;
             }
         }
     }
@@ -143,7 +143,9 @@
             .machines
             .iter()
             .rev()
-            .filter(|(_, m)| m.life == Life::Up && !m.is_empty() && m.extra.is_empty())
+            .filter(|(_, m)| {
+                m.state == MachineState::Ready && !m.is_empty() && m.unexpected_tasks.is_empty()
+            })
             .collect();
         by_load.sort_by_key(|(_, m)| m.held.len());
         let mut targets = self.targets();
@@ -220,7 +222,7 @@
         from: &MachineId,
         task: &TaskId,
         targets: &mut Targets<'a>,
-    ) -> Option<(&'a MachineId, Room)> {
+    ) -> Option<(&'a MachineId, Resources)> {
         let job = self.movable(task)?;
         let left = self.machines.get(from)?.zone.as_str();
         let need = job.spec.need();
@@ -243,7 +245,14 @@
     }
 
     /// Whether a machine would take a task of the job, which leaves another zone, in so much room and without a fetch.
-    fn would_take(&self, job: &Job, id: &MachineId, m: &Machine, room: &Room, left: &str) -> bool {
+    fn would_take(
+        &self,
+        job: &Job,
+        id: &MachineId,
+        m: &Machine,
+        room: &Resources,
+        left: &str,
+    ) -> bool {
         m.takes_offers()
             && m.free().holds(room)
             && m.has_image(&job.spec.image)
@@ -252,7 +261,7 @@
             && zone_takes(job, &m.zone, 0, Some(left))
     }
 
-    /// At a report of a machine that is being consolidated: the task to stop now, if a machine that would take it reports
+    /// At a heartbeat of a machine that is being consolidated: the task to stop now, if a machine that would take it reports
     /// next just when the task's exit is known, so that the replica is down as shortly as can be.
     pub(super) fn task_to_move(&mut self, from: &MachineId, now: Micros) -> Option<TaskId> {
         let m = self.machines.get(from)?;
@@ -282,12 +291,12 @@
         let job = self.jobs.get_mut(&task.job)?;
         // The place is spoken for until the task has had time to come.
         job.moving_until = now + ARRIVES_WITHIN;
-        job.claims.push((target, job.moving_until));
-        self.job_index.note_claimant(&task.job);
+        job.reservations.push((target, job.moving_until));
+        self.job_index.note_pending_reservation(&task.job);
         job.placement_mut(task.index)?.stopping = Some(StopReason::Drained);
         self.job_index.note_stopping(task.clone());
         self.details
-            .push(format!("event=moving task={task} from={from}"));
+            .push(format!("event=task_moving task={task} from={from}"));
         Some(task)
     }
 }
--- a/src/scheduler/failure_detection.rs
+++ b/src/scheduler/failure_detection.rs
@@ -1,8 +1,8 @@
 //! Who is out of touch, and since when: which silent machines are dead, and which are only out of reach.
 
 use super::ids::{MachineId, TaskId};
-use super::machine::{Life, Machine};
-use super::{Controller, Scheduler};
+use super::machine::{Machine, MachineState};
+use super::{ControllerStatus, Scheduler};
 use crate::units::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -14,7 +14,7 @@
 const MACHINES_A_LINE: usize = 25;
 /// How long the doubt that a silent controller, or a stopped way, casts outlasts its silence.
 const CUT_LINGERS: Micros = Micros::secs(10);
-/// A way on which no report came for this, and for so many of its usual gaps, is stopped.
+/// A way on which no heartbeat came for this, and for so many of its usual gaps, is stopped.
 const STOPPED_AFTER: Micros = Micros::secs(1);
 const STOPPED_GAPS: u64 = 8;
 /// How long a worker waits for an answer, and then before it tries the next controller.
@@ -27,7 +27,7 @@
 const GIVEN_UP_COUNTS: Micros = Micros::secs(30);
 /// How long a machine behind a cut is waited for; the machine list tells sooner if it died.
 const CUT_LASTS: Micros = Micros::secs(180);
-/// A machine whose report is late by this is out of touch.
+/// A machine whose heartbeat is late by this is out of touch.
 const OUT_OF_TOUCH: Micros = Micros::secs(1);
 /// All must have been well for so long before workers are sent to other controllers.
 const SHED_AFTER: Micros = Micros::secs(20);
@@ -55,7 +55,7 @@
 
 /// What the scheduler knows of the ways on which reports come.
 #[derive(Debug, Default)]
-pub(super) struct Liveness {
+pub(super) struct FailureDetector {
     /// Since when all controllers have been well.
     pub(super) steady_since: Option<Micros>,
     doubtful_zones: BTreeMap<String, Micros>,
@@ -80,46 +80,52 @@
 impl Scheduler {
     /// Tells which of the other controllers answer this one now. While all answer, workers have no reason to look for
     /// another.
-    pub fn set_controllers(&mut self, controllers: &[Controller], now: Micros) {
-        let silent: Vec<&Controller> = controllers.iter().filter(|c| !c.answers).collect();
+    pub fn set_controllers(&mut self, controllers: &[ControllerStatus], now: Micros) {
+        let silent: Vec<&ControllerStatus> =
+            controllers.iter().filter(|c| !c.is_reachable).collect();
         let steady = silent.is_empty();
-        self.liveness.steady_since = steady.then(|| self.liveness.steady_since.unwrap_or(now));
-        self.liveness.closed_zones = silent.iter().map(|c| c.zone.clone()).collect();
-        for other in controllers.iter().filter(|c| c.answers) {
-            self.liveness.closed_zones.remove(&other.zone);
+        self.failure_detector.steady_since =
+            steady.then(|| self.failure_detector.steady_since.unwrap_or(now));
+        self.failure_detector.closed_zones = silent.iter().map(|c| c.zone.clone()).collect();
+        for other in controllers.iter().filter(|c| c.is_reachable) {
+            self.failure_detector.closed_zones.remove(&other.zone);
         }
         for c in &silent {
-            self.liveness.doubtful_zones.insert(c.zone.clone(), now);
-            self.liveness.silent_nodes.insert(c.node.clone(), now);
+            self.failure_detector
+                .doubtful_zones
+                .insert(c.zone.clone(), now);
+            self.failure_detector
+                .silent_nodes
+                .insert(c.node.clone(), now);
         }
         if silent.len() >= 2 {
-            self.liveness.two_silent_at = Some(now);
+            self.failure_detector.two_silent_at = Some(now);
         }
         // After a cut workers still need a while to come back.
-        self.liveness
+        self.failure_detector
             .doubtful_zones
             .retain(|_, at| now.since(*at) < CUT_LINGERS);
-        self.liveness
+        self.failure_detector
             .silent_nodes
             .retain(|_, at| now.since(*at) < CUT_LINGERS);
-        self.liveness.two_silent_at = self
-            .liveness
+        self.failure_detector.two_silent_at = self
+            .failure_detector
             .two_silent_at
             .filter(|at| now.since(*at) < CUT_LINGERS);
     }
 
     /// Another controller misses one that answers here: workers beyond that cut look for another as well.
     pub fn end_calm(&mut self) {
-        self.liveness.steady_since = None;
+        self.failure_detector.steady_since = None;
     }
 
-    /// How many of the workers that report to this controller itself should go to another, once all is well again.
+    /// How many of the workers that heartbeat to this controller itself should go to another, once all is well again.
     ///
     /// Guards against a leader that keeps every worker of a large fleet after a filter between controllers: it would
     /// carry all the work, and all would have to find another controller at once when it fails.
-    pub(super) fn workers_to_shed(&self, now: Micros) -> usize {
+    pub(super) fn redirects_wanted(&self, now: Micros) -> usize {
         let calm = self
-            .liveness
+            .failure_detector
             .steady_since
             .is_some_and(|t| now.since(t) > SHED_AFTER);
         if !calm || self.config.controllers < 2 {
@@ -128,15 +134,15 @@
         let own = self
             .machines
             .values()
-            .filter(|m| m.in_touch && m.via.is_empty());
+            .filter(|m| m.is_reachable && m.via.is_empty());
         let fair = self.machines.len() * 2 / self.config.controllers;
         own.count().saturating_sub(fair).div_ceil(SHED_OF)
     }
 
     /// Whether a worker that just reported here should report elsewhere.
-    pub fn sheds_worker(&mut self) -> bool {
-        let sheds = self.liveness.shed > 0;
-        self.liveness.shed -= usize::from(sheds);
+    pub fn takes_redirect(&mut self) -> bool {
+        let sheds = self.failure_detector.shed > 0;
+        self.failure_detector.shed -= usize::from(sheds);
         sheds
     }
 
@@ -144,12 +150,12 @@
     ///
     /// Guards against tasks that wait behind a cut, on machines that only another controller hears, while others have
     /// room.
-    pub(super) fn lose_contact(&mut self, now: Micros) {
+    pub(super) fn mark_unreachable(&mut self, now: Micros) {
         let limit = self.config.report.scaled(5, 4) + OUT_OF_TOUCH;
         let mut waiting = Vec::new();
         for m in self.machines.values_mut() {
-            if m.in_touch && now.since(m.reported_at) > limit {
-                m.in_touch = false;
+            if m.is_reachable && now.since(m.reported_at) > limit {
+                m.is_reachable = false;
                 waiting.extend(m.held.keys().cloned());
             }
         }
@@ -163,43 +169,43 @@
         }
     }
 
-    /// Machines that are lost, silent or stuck are given back, as only then their tasks may run elsewhere.
-    pub(super) fn give_up_lost(&mut self, now: Micros) {
+    /// Machines that are lost, silent or stuck are terminated, as only then their tasks may run elsewhere.
+    pub(super) fn terminate_lost(&mut self, now: Micros) {
         self.count_steps(self.machines.len());
-        self.look_at_boots(now);
+        self.update_provisioning_times(now);
         let mut give_up: Vec<(MachineId, &str)> = Vec::new();
         for (id, m) in &self.machines {
-            if m.life == Life::Returning {
+            if m.state == MachineState::Terminating {
                 continue;
             }
             if m.lost {
                 give_up.push((id.clone(), "lost"));
-            } else if self.is_stuck_in_boot(m, now) {
+            } else if self.is_provisioning_timed_out(m, now) {
                 give_up.push((id.clone(), "stuck"));
             }
         }
-        self.liveness
+        self.failure_detector
             .given_up
             .retain(|(at, _, _)| now.since(*at) < GIVEN_UP_COUNTS);
-        self.excuse_cut_off(now);
+        self.suppress_suspicion_of_partitioned(now);
         self.note_stopped_ways(now);
         self.note_dark_zones(now);
         give_up.extend(self.silent(now).into_iter().map(|id| (id, "silent")));
         let mut lost: BTreeMap<(&str, String, bool), Vec<MachineId>> = BTreeMap::new();
         for (id, mut why) in give_up {
             if why == "stuck" {
-                self.note_boot(&id, false, now);
+                self.observe_provisioning(&id, false, now);
             }
             let Some(m) = self.machines.get_mut(&id) else {
                 continue;
             };
-            m.life = Life::Returning;
+            m.state = MachineState::Terminating;
             if why == "silent" {
-                if m.is_deaf() {
+                if m.is_inbound_unreachable() {
                     why = "deaf";
                 }
                 let given_up = (now, m.zone.clone(), m.spot);
-                self.liveness.given_up.push_back(given_up);
+                self.failure_detector.given_up.push_back(given_up);
             }
             let kind = (why, m.zone.clone(), m.spot);
             lost.entry(kind).or_default().push(id);
@@ -227,7 +233,7 @@
             .collect();
         let quiet = known().map(|m| now.since(m.last_contact)).max();
         self.notes.push(format!(
-            "event=machine_vanished machine={} count={} why={why} zone={zone} spot={spot} quiet={} tasks=[{}]",
+            "event=machine_lost machine={} count={} why={why} zone={zone} spot={spot} quiet={} tasks=[{}]",
             names.join(","),
             names.len(),
             quiet.unwrap_or_default(),
@@ -235,7 +241,7 @@
         ));
     }
 
-    /// Notes the ways on which no report comes any more, though many used to.
+    /// Notes the ways on which no heartbeat comes any more, though many used to.
     ///
     /// Guards against what gave up 235 live machines within two seconds: a leader that held most of a large fleet's
     /// workers lost them all at once, and a quarter of them was past its time before the quarter stood out.
@@ -251,10 +257,14 @@
             now.since(*last) > STOPPED_AFTER + gaps
         });
         for ((via, zone), _) in stopped {
-            let zones = self.liveness.stopped.entry(via.to_owned()).or_default();
+            let zones = self
+                .failure_detector
+                .stopped
+                .entry(via.to_owned())
+                .or_default();
             zones.insert(zone.to_owned(), now);
         }
-        self.liveness.stopped.retain(|_, zones| {
+        self.failure_detector.stopped.retain(|_, zones| {
             zones.retain(|_, at| now.since(*at) < CUT_LINGERS);
             !zones.is_empty()
         });
@@ -262,7 +272,7 @@
 
     /// Notes the zones of which no machine is heard any more.
     ///
-    /// Guards against machines rented behind a cut, of all zones, as those there were given up and it has the fewest now.
+    /// Guards against machines provisioned behind a cut, of all zones, as those there were given up and it has the fewest now.
     pub(super) fn note_dark_zones(&mut self, now: Micros) {
         let mut heard: BTreeMap<&str, Micros> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.is_counted()) {
@@ -272,30 +282,33 @@
         let limit = self.config.report.scaled(5, 4) + OUT_OF_TOUCH;
         for (zone, last) in heard {
             if now.since(last) > limit {
-                self.liveness.dark.insert(zone.to_owned(), now);
+                self.failure_detector.dark.insert(zone.to_owned(), now);
             } else {
-                self.liveness.dark.remove(zone);
+                self.failure_detector.dark.remove(zone);
             }
         }
-        self.liveness.dark.retain(|_, at| now.since(*at) < DARK_FOR);
+        self.failure_detector
+            .dark
+            .retain(|_, at| now.since(*at) < DARK_FOR);
     }
 
-    /// Whether nothing is heard of a zone, so that a machine rented there could not be told anything either.
+    /// Whether nothing is heard of a zone, so that a machine provisioned there could not be told anything either.
     pub(super) fn is_dark(&self, zone: &str) -> bool {
-        self.liveness.dark.contains_key(zone) || self.liveness.closed_zones.contains(zone)
+        self.failure_detector.dark.contains_key(zone)
+            || self.failure_detector.closed_zones.contains(zone)
     }
 
-    /// The leader itself stood still: silence from before that is its own.
+    /// The leader itself was paused: silence from before that is its own.
     ///
     /// Guards against a leader that slept through much of its workers' leases and still leads, as it may after an outage
     /// of the state service: it would give up the whole fleet for a silence in which it heard nothing.
     ///
-    /// A short standstill only moves what was heard along, so that a leader that is slow all the time still finds the dead.
-    pub fn stood_still(&mut self, gap: Micros, now: Micros) {
+    /// A short pause only moves what was heard along, so that a leader that is slow all the time still finds the dead.
+    pub fn on_process_pause(&mut self, gap: Micros, now: Micros) {
         let long = gap >= self.config.report;
         for m in self.machines.values_mut() {
             if long {
-                m.excused_at = now;
+                m.suspicion_suppressed_at = now;
                 m.reported_at = now;
             } else {
                 m.last_contact = now.min(m.last_contact + gap);
@@ -307,25 +320,25 @@
     /// Machines silent for so long that they count as dead.
     ///
     /// Guards against taking a cut, or a controller's own trouble, for deaths: when much of a zone, or of all, falls
-    /// silent together, it is given up only once the workers' leases are over; a wave of taken spot machines excepted.
+    /// silent together, it is given up only once the workers' leases have ended; a wave of taken spot machines excepted.
     fn silent(&self, now: Micros) -> Vec<MachineId> {
         let step = self.config.report.scaled(5, 4) + Micros::secs(1);
         let two_moves = step + WORKER_MOVES_ON.scaled(2, 1);
         let steady = self
-            .liveness
+            .failure_detector
             .steady_since
             .is_some_and(|t| now.since(t) > two_moves);
         let lease = self.config.lease + step;
         // Guards against what gave up 157 live machines: a new leader does not know through whom it would hear those that
         // it never heard, and a controller that lost all but its workers needs most of their lease to hand them on.
         let way_unknown =
-            |m: &Machine| m.newest.is_none() && !self.liveness.silent_nodes.is_empty();
+            |m: &Machine| m.newest.is_none() && !self.failure_detector.silent_nodes.is_empty();
         // A worker whose controller is out of reach needs a while to find another one; where the way to
         // its zone, or to two controllers, is broken it may have to try two in vain.
         let patience = |m: &Machine| {
-            let far = self.liveness.two_silent_at.is_some()
-                || self.liveness.doubtful_zones.contains_key(&m.zone)
-                || self.liveness.silent_nodes.contains_key(&m.via);
+            let far = self.failure_detector.two_silent_at.is_some()
+                || self.failure_detector.doubtful_zones.contains_key(&m.zone)
+                || self.failure_detector.silent_nodes.contains_key(&m.via);
             if way_unknown(m) {
                 lease.max(two_moves)
             } else if self.is_way_stopped(m) || (far && !steady) {
@@ -336,8 +349,8 @@
                 step + WORKER_MOVES_ON + TOLD_WITHIN
             }
         };
-        // Once a cut is over, workers need as long as ever to be heard.
-        let quiet = |m: &Machine| now.since(m.last_contact.max(m.excused_at));
+        // Once a cut has ended, workers need as long as ever to be heard.
+        let quiet = |m: &Machine| now.since(m.last_contact.max(m.suspicion_suppressed_at));
         let is_late = |m: &Machine| quiet(m) > patience(m);
         // Many of one controller's workers late together: the way through it is troubled, though it answers pings.
         let mut ways: BTreeMap<&str, Silence> = BTreeMap::new();
@@ -354,18 +367,19 @@
             zones.entry(&m.zone).or_default().add(m.spot, is_quiet(m));
             all.add(m.spot, is_quiet(m));
         }
-        for (_, zone, spot) in &self.liveness.given_up {
+        for (_, zone, spot) in &self.failure_detector.given_up {
             zones.entry(zone).or_default().add(*spot, true);
             all.add(*spot, true);
         }
         let mut silent = Vec::new();
         for (id, m) in &self.machines {
-            if m.life == Life::Returning || !m.is_counted() || !is_quiet(m) {
+            if m.state == MachineState::Terminating || !m.is_counted() || !is_quiet(m) {
                 continue;
             }
             let zone = &zones[m.zone.as_str()];
             // Of a zone from which nothing comes the first quarter to be late is no handful of deaths.
-            let dark = zone.all >= DARK_FROM && self.liveness.dark.get(&m.zone) == Some(&now);
+            let dark =
+                zone.all >= DARK_FROM && self.failure_detector.dark.get(&m.zone) == Some(&now);
             let few = zone.is_few(m.spot) && all.is_few(m.spot) && !dark;
             let wave = m.spot && zone.quiet[0] == 0 && all.is_few(false);
             let noticed = m.notice.is_some_and(|t| t < now);
@@ -377,12 +391,12 @@
     }
 
     fn is_way_stopped(&self, m: &Machine) -> bool {
-        let zones = self.liveness.stopped.get(&m.via);
+        let zones = self.failure_detector.stopped.get(&m.via);
         zones.is_some_and(|zones| zones.contains_key(&m.zone))
     }
 
     /// Notes which machines need not be heard now.
-    fn excuse_cut_off(&mut self, now: Micros) {
+    fn suppress_suspicion_of_partitioned(&mut self, now: Micros) {
         let cut_off =
             |m: &Machine| self.is_cut_off(m, now) && now.since(m.last_contact) < CUT_LASTS;
         let excused: Vec<MachineId> = self
@@ -393,7 +407,7 @@
             .collect();
         for id in excused {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.excused_at = now;
+                m.suspicion_suppressed_at = now;
             }
         }
     }
@@ -404,13 +418,14 @@
     /// Guards against giving up what runs well behind a cut, or with a controller that lost everything but its workers.
     fn is_cut_off(&self, m: &Machine, now: Micros) -> bool {
         let tells = |node: &str| {
-            let told = self.liveness.told.get(node);
+            let told = self.failure_detector.told.get(node);
             told.is_some_and(|at| now.since(*at) < self.config.report.scaled(2, 1) + TOLD_WITHIN)
         };
         let silent_now = |node: &str| {
-            let silent = self.liveness.silent_nodes.get(node);
+            let silent = self.failure_detector.silent_nodes.get(node);
             silent.is_some_and(|at| now.since(*at) < TOLD_WITHIN)
         };
-        (silent_now(&m.via) && !tells(&m.via)) || self.liveness.closed_zones.contains(&m.zone)
+        (silent_now(&m.via) && !tells(&m.via))
+            || self.failure_detector.closed_zones.contains(&m.zone)
     }
 }
--- a/src/scheduler/fair.rs
+++ b/src/scheduler/fair_share.rs
@@ -14,18 +14,18 @@
 /// A job that waits so long without a task placed is kept room for.
 const LONG: Micros = Micros::secs(30);
 /// For so long smaller work of a team at its limit is held back; then what blocks it will not end soon.
-const TEAM_HELD: Micros = Micros::secs(120);
+const TEAM_HOLD_LIMIT: Micros = Micros::secs(120);
 /// Of so many machines one may be kept for a job.
-const MACHINES_PER_KEPT: usize = 50;
+const MACHINES_PER_RESERVATION: usize = 50;
 
-/// How often it is looked for whom to keep what: rounds may come far more often than a job's turn.
+/// How often it is looked for whom to keep what: scheduling cycles may come far more often than a job's turn.
 const LOOK_EVERY: Micros = Micros::millis(200);
-/// About so many jobs, and the first ones always, look for a machine to be kept in one round.
+/// About so many jobs, and the first ones always, look for a machine to be kept in one scheduling cycle.
 const SEARCHES: usize = 32;
 
 /// What is kept for jobs that wait long.
 #[derive(Debug, Default)]
-pub(super) struct Fair {
+pub(super) struct FairShare {
     /// Machines that take nothing else until the job was placed there.
     machines: BTreeMap<MachineId, JobId>,
     /// Teams whose later jobs are held back for one that waits for room within the limit.
@@ -36,8 +36,8 @@
 
 impl Scheduler {
     /// Looks anew at what is kept, and for whom.
-    pub(super) fn keep_for_long_waiting(&mut self, now: Micros) {
-        if now.since(self.fair.looked_at) < LOOK_EVERY {
+    pub(super) fn reserve_for_long_waiting(&mut self, now: Micros) {
+        if now.since(self.fair_share.looked_at) < LOOK_EVERY {
             return;
         }
         let waits = |j: &Job| {
@@ -50,9 +50,9 @@
             .filter_map(|j| Some((j, waits(j)?)))
             .collect();
         if long.is_empty() {
-            self.fair = Fair {
+            self.fair_share = FairShare {
                 looked_at: now,
-                ..Fair::default()
+                ..FairShare::default()
             };
             return;
         }
@@ -63,20 +63,20 @@
             let spec = &job.spec;
             if self.within_limit(&spec.team, &spec.need()) {
                 wanting.push(spec.id.clone());
-            } else if waited < LONG + TEAM_HELD {
+            } else if waited < LONG + TEAM_HOLD_LIMIT {
                 teams
                     .entry(spec.team.clone())
                     .or_insert_with(|| spec.id.clone());
             }
         }
-        self.fair.teams = teams;
-        self.fair.looked_at = now;
-        self.fair.machines = self.machines_for(wanting);
+        self.fair_share.teams = teams;
+        self.fair_share.looked_at = now;
+        self.fair_share.machines = self.machines_for(wanting);
     }
 
     /// The machines that are kept for these jobs, the first of which go before the others.
     fn machines_for(&mut self, wanting: Vec<JobId>) -> BTreeMap<MachineId, JobId> {
-        let mut machines = std::mem::take(&mut self.fair.machines);
+        let mut machines = std::mem::take(&mut self.fair_share.machines);
         let still_wanting: HashSet<&JobId> = wanting.iter().collect();
         machines.retain(|id, job| {
             let takes = self.machines.get(id).is_some_and(Machine::takes_offers);
@@ -87,9 +87,9 @@
             *kept.entry(job.clone()).or_default() += 1;
         }
         let jobs = wanting.len();
-        let most = self.machines.len() / MACHINES_PER_KEPT + 1;
+        let most = self.machines.len() / MACHINES_PER_RESERVATION + 1;
         let waiting = self.open_jobs().filter(|j| j.waiting() > 0);
-        let least = waiting.map(|j| j.spec.need()).reduce(|a, b| a.least(&b));
+        let least = waiting.map(|j| j.spec.need()).reduce(|a, b| a.min(&b));
         for (place, id) in wanting.into_iter().enumerate() {
             let Some(spec) = spec_of(&self.jobs, &id) else {
                 continue;
@@ -106,7 +106,7 @@
                 _ => 0,
             };
             if kept.get(&id).copied().unwrap_or(0) < needed
-                && let Some(machine) = self.machine_to_keep(&id, &machines)
+                && let Some(machine) = self.machine_to_reserve(&id, &machines)
             {
                 machines.insert(machine, id);
             }
@@ -120,7 +120,11 @@
     }
 
     /// The machine that could take a task of the job and has the least to wait for.
-    fn machine_to_keep(&self, id: &JobId, kept: &BTreeMap<MachineId, JobId>) -> Option<MachineId> {
+    fn machine_to_reserve(
+        &self,
+        id: &JobId,
+        kept: &BTreeMap<MachineId, JobId>,
+    ) -> Option<MachineId> {
         let spec = spec_of(&self.jobs, id)?;
         let need = spec.need();
         let zone = kept.iter().find(|(_, job)| *job == id);
@@ -141,8 +145,8 @@
     }
 
     /// Whether a machine is kept for another job, which does not go before this one anyway.
-    pub(super) fn is_kept_from(&self, machine: &MachineId, id: &JobId) -> bool {
-        let Some(keeper) = self.fair.machines.get(machine) else {
+    pub(super) fn is_reserved_for_another(&self, machine: &MachineId, id: &JobId) -> bool {
+        let Some(keeper) = self.fair_share.machines.get(machine) else {
             return false;
         };
         keeper != id && !self.outranks(id, keeper)
@@ -153,7 +157,7 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let Some(keeper) = self.fair.teams.get(&job.spec.team) else {
+        let Some(keeper) = self.fair_share.teams.get(&job.spec.team) else {
             return false;
         };
         keeper != id && !self.outranks(id, keeper)
