--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -1,23 +1,23 @@
-//! The fleet: what to rent for tasks that nobody took, and what to give back.
+//! The fleet: what to provision for tasks that nobody took, and what to terminate.
 
 use super::ids::{MachineId, TaskId};
 use super::job_spec::{JobSpec, Shape};
-use super::machine::{Life, Machine};
+use super::machine::{Machine, MachineState};
 use super::machine_type::MachineType;
 use super::reserve::Reserve;
 use super::{Scheduler, live_tasks};
 use crate::cloud::{Listed, ListedStatus};
-use crate::units::{Micros, Room};
+use crate::units::{Micros, Resources};
 use ravenhead_recovery::Resolution;
 use std::collections::{BTreeMap, HashSet};
 
 /// How long a pool that had no machine is left alone.
 const POOL_PAUSE: Micros = Micros::secs(20);
-/// The cloud charges at least so much for a machine that is given back.
-const LEAST_CHARGE: Micros = Micros::secs(60);
-/// Names of machines that are gone, of which late reports and lists may still speak. One that is forgotten and spoken of
+/// The cloud charges at least so much for a machine that is terminated.
+const MIN_CHARGE: Micros = Micros::secs(60);
+/// Names of machines that are gone, of which late heartbeats and lists may still speak. One that is forgotten and spoken of
 /// once more is only returned once more.
-const GONE_KEPT: usize = 20_000;
+const MAX_REMEMBERED_TERMINATED: usize = 20_000;
 
 /// Machines of one type, zone and kind.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -30,9 +30,9 @@
     pub spot: bool,
 }
 
-/// Machines to rent.
+/// Machines to provision.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RentalRequest {
+pub struct ScaleOutRequest {
     /// From where.
     pub pool: Pool,
     /// How many.
@@ -42,46 +42,46 @@
 /// What is to be done with the fleet now.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct FleetPlan {
-    /// To rent.
-    pub rent: Vec<RentalRequest>,
-    /// To give back.
-    pub give_back: Vec<MachineId>,
+    /// To provision.
+    pub provision: Vec<ScaleOutRequest>,
+    /// To terminate.
+    pub terminate: Vec<MachineId>,
 }
 
-/// What the scheduler remembers of its rentals.
+/// What the scheduler remembers of its provisioning requests.
 #[derive(Debug, Default)]
 pub(super) struct Fleet {
     /// Whether the machine list was read in this term.
     pub(super) listed: bool,
     /// Asked for, not answered.
-    pub(super) renting: Vec<RentalRequest>,
+    pub(super) in_flight_requests: Vec<ScaleOutRequest>,
     /// Pools that had none, and until when they are left alone.
     pub(super) paused: BTreeMap<Pool, Micros>,
 }
 
 impl Scheduler {
-    /// What to rent and give back. `unix_time` is the time of day in microseconds.
+    /// What to provision and terminate. `unix_time` is the time of day in microseconds.
     pub fn plan_fleet(&mut self, now: Micros, unix_time: u64) -> FleetPlan {
         self.unix_time = unix_time;
-        self.lose_contact(now);
-        self.liveness.shed = self.workers_to_shed(now);
-        self.give_up_lost(now);
+        self.mark_unreachable(now);
+        self.failure_detector.shed = self.redirects_wanted(now);
+        self.terminate_lost(now);
         self.tell_recovery(now);
         self.overdue_cancels(unix_time);
         self.observe_demand(now);
         if self.is_rebuilding() {
             // What waits may run already, and what stands empty may be needed.
             return FleetPlan {
-                rent: Vec::new(),
-                give_back: self.returning(),
+                provision: Vec::new(),
+                terminate: self.returning(),
             };
         }
         let reserve = self.reserve(unix_time);
         self.plan_consolidation(reserve.as_ref(), now);
-        self.give_up_idle(reserve.as_ref(), now);
+        self.scale_in_idle(reserve.as_ref(), now);
         FleetPlan {
-            rent: self.plan_rentals(reserve, now),
-            give_back: self.returning(),
+            provision: self.plan_scale_out(reserve, now),
+            terminate: self.returning(),
         }
     }
 
@@ -90,7 +90,7 @@
         let returning = self
             .machines
             .iter()
-            .filter(|(_, m)| m.life == Life::Returning);
+            .filter(|(_, m)| m.state == MachineState::Terminating);
         returning.map(|(id, _)| id.clone()).collect()
     }
 
@@ -103,7 +103,10 @@
         spot: bool,
         now: Micros,
     ) {
-        let total = self.machine_types.get(machine_type).map(MachineType::room);
+        let total = self
+            .machine_types
+            .get(machine_type)
+            .map(MachineType::resources);
         let m = self
             .machines
             .entry(id.clone())
@@ -111,7 +114,7 @@
         if m.machine_type == machine_type
             && m.zone == zone
             && m.spot == spot
-            && m.total != Room::default()
+            && m.total != Resources::default()
         {
             return;
         }
@@ -132,11 +135,11 @@
         }
     }
 
-    /// Machines that were rented so long ago, by this leader or an earlier one, which the list may not show yet.
+    /// Machines that were provisioned so long ago, by this leader or an earlier one, which the list may not show yet.
     ///
     /// Guards against a new leader that counts on machines which the earlier one gave back meanwhile, as if they were just
     /// about to boot.
-    pub fn inherit_rented(
+    pub fn inherit_provisioned(
         &mut self,
         pool: &Pool,
         machines: &[MachineId],
@@ -144,7 +147,7 @@
         now: Micros,
     ) {
         for id in machines {
-            if self.gone.contains(id) {
+            if self.terminated.contains(id) {
                 continue;
             }
             let known = self.machines.contains_key(id);
@@ -155,31 +158,41 @@
         }
     }
 
-    /// A rental request is on its way.
-    pub fn rent_started(&mut self, request: &RentalRequest) {
-        self.fleet.renting.push(request.clone());
+    /// A provisioning request is on its way.
+    pub fn on_scale_out_started(&mut self, request: &ScaleOutRequest) {
+        self.fleet.in_flight_requests.push(request.clone());
     }
 
-    /// A rental request was answered: the machines, or none where it failed.
-    pub fn rent_done(&mut self, request: &RentalRequest, machines: &[MachineId], now: Micros) {
-        if let Some(i) = self.fleet.renting.iter().position(|w| w == request) {
-            self.fleet.renting.swap_remove(i);
+    /// A provisioning request was answered: the machines, or none where it failed.
+    pub fn on_scale_out_completed(
+        &mut self,
+        request: &ScaleOutRequest,
+        machines: &[MachineId],
+        now: Micros,
+    ) {
+        if let Some(i) = self
+            .fleet
+            .in_flight_requests
+            .iter()
+            .position(|w| w == request)
+        {
+            self.fleet.in_flight_requests.swap_remove(i);
         }
         if machines.len() < request.count {
             self.fleet
                 .paused
                 .insert(request.pool.clone(), now + POOL_PAUSE);
         }
-        self.inherit_rented(&request.pool, machines, Micros::ZERO, now);
+        self.inherit_provisioned(&request.pool, machines, Micros::ZERO, now);
         for id in machines {
             if let Some(m) = self.machines.get_mut(id) {
-                m.rented_now = true;
+                m.is_provisioned_by_this_term = true;
             }
         }
     }
 
     /// The cloud confirmed that these machines are gone, with everything on them.
-    pub fn returned(&mut self, machines: &[MachineId], now: Micros) {
+    pub fn on_terminated(&mut self, machines: &[MachineId], now: Micros) {
         for id in machines {
             let held: Vec<TaskId> = match self.machines.get(id) {
                 Some(m) => m.held.keys().cloned().collect(),
@@ -201,13 +214,13 @@
             if known || gone.is_some_and(|m| !m.written_images.is_empty()) {
                 self.new_images.insert(id.clone());
             }
-            if self.gone.insert(id.clone()) {
-                self.gone_order.push_back(id.clone());
+            if self.terminated.insert(id.clone()) {
+                self.terminated_order.push_back(id.clone());
             }
-            if self.gone_order.len() > GONE_KEPT
-                && let Some(old) = self.gone_order.pop_front()
+            if self.terminated_order.len() > MAX_REMEMBERED_TERMINATED
+                && let Some(old) = self.terminated_order.pop_front()
             {
-                self.gone.remove(&old);
+                self.terminated.remove(&old);
             }
         }
     }
@@ -220,7 +233,7 @@
         let mut listed = HashSet::new();
         for entry in list {
             listed.insert(&entry.machine);
-            if self.gone.contains(&entry.machine) {
+            if self.terminated.contains(&entry.machine) {
                 continue;
             }
             let known = self.machines.contains_key(&entry.machine);
@@ -237,7 +250,7 @@
             if !known {
                 m.since = asked_at.since(Micros::from_secs_f64(entry.age_s));
             }
-            m.listed_at.get_or_insert(asked_at);
+            m.first_listed_at.get_or_insert(asked_at);
             m.listed_running = entry.status == ListedStatus::Running;
             if entry.status == ListedStatus::Failed && !m.lost {
                 m.lost = true;
@@ -247,10 +260,10 @@
             // A list may be older than the one before it, by twice the lag at most: only what is older than that
             // can be missed for being gone.
             let old = asked_at.since(m.since) > lag.scaled(3, 1) + Micros::secs(1);
-            // Guards against a new leader that counts on what the one before rented and gave back, and takes these machines
+            // Guards against a new leader that counts on what the one before provisioned and gave back, and takes these machines
             // for late boots: those that are there are listed by now.
-            let never_came = m.newest.is_none() && !m.rented_now;
-            if (m.listed_at.is_some() || never_came) && old && !listed.contains(id) {
+            let never_came = m.newest.is_none() && !m.is_provisioned_by_this_term;
+            if (m.first_listed_at.is_some() || never_came) && old && !listed.contains(id) {
                 m.lost = true;
             }
         }
@@ -269,11 +282,11 @@
         }
         for (id, job) in &overdue {
             if let Some(m) = self.machines.get_mut(id)
-                && m.life != Life::Returning
+                && m.state != MachineState::Terminating
             {
-                m.life = Life::Returning;
+                m.state = MachineState::Terminating;
                 self.notes.push(format!(
-                    "event=machine_given_up machine={id} why=cancelled_task_left job={job}"
+                    "event=machine_terminating machine={id} why=cancelled_task_left job={job}"
                 ));
             }
         }
@@ -281,7 +294,7 @@
     }
 
     /// Gives back machines that stood empty long enough, the highest ids first, down to the reserve.
-    fn give_up_idle(&mut self, reserve: Option<&Reserve>, now: Micros) {
+    fn scale_in_idle(&mut self, reserve: Option<&Reserve>, now: Micros) {
         let mut spare = match reserve {
             Some(reserve) => self
                 .free_places(&reserve.like)
@@ -301,10 +314,10 @@
             {
                 continue;
             }
-            let drained = m.life == Life::Draining;
-            let stale = m.life == Life::Up
+            let drained = m.state == MachineState::Draining;
+            let stale = m.state == MachineState::Ready
                 && now.since(since) >= self.idle_limit(m)
-                && now.since(m.since) >= LEAST_CHARGE;
+                && now.since(m.since) >= MIN_CHARGE;
             if drained {
                 idle.push(id.clone());
             } else if stale {
@@ -319,7 +332,7 @@
         }
         for id in idle {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.life = Life::Returning;
+                m.state = MachineState::Terminating;
                 self.notes
                     .push(format!("event=machine_idle machine={id} zone={}", m.zone));
             }
@@ -358,7 +371,7 @@
         }
         let mut room = m.free();
         if spec.shape == Shape::Service {
-            room += m.held_below(spec.priority);
+            room += m.reserved_below(spec.priority);
         }
         room.count_of(&spec.need()).min(1_000)
     }
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/heartbeats.rs
@@ -1,27 +1,27 @@
-//! What a report tells of its machine: that it is there, that it hears us, and what became of its tasks.
+//! What a heartbeat tells of its machine: that it is there, that it hears us, and what became of its tasks.
 
 use super::Scheduler;
 use super::ids::MachineId;
-use super::machine::Life;
-use super::messages::{Report, ReportIndex};
+use super::machine::MachineState;
+use super::messages::{Heartbeat, TaskStatusIndex};
 use crate::units::Micros;
 
-/// What a report brought.
+/// What a heartbeat brought.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct ReportOutcome {
-    /// Whether it is the newest of its machine; an older one changes nothing and gets no orders.
+pub struct HeartbeatOutcome {
+    /// Whether it is the newest of its machine; an older one changes nothing and gets no commands.
     pub fresh: bool,
     /// Whether something is to be written or offered on account of it.
     pub changed: bool,
 }
 
 impl Scheduler {
-    /// Takes in a report that the controller `via` passed on, or that came to this one.
-    pub fn on_report(&mut self, r: &Report, via: &str, now: Micros) -> ReportOutcome {
+    /// Takes in a heartbeat that the controller `via` passed on, or that came to this one.
+    pub fn on_report(&mut self, r: &Heartbeat, via: &str, now: Micros) -> HeartbeatOutcome {
         self.latest = now;
         // Late reports of machines that are gone must not bring them back.
-        if self.gone.contains(&r.machine) {
-            return ReportOutcome::default();
+        if self.terminated.contains(&r.machine) {
+            return HeartbeatOutcome::default();
         }
         if !self.machines.contains_key(&r.machine) {
             self.notes
@@ -29,55 +29,56 @@
         }
         self.learn_machine(&r.machine, &r.machine_type, &r.zone, r.spot, now);
         let Some(m) = self.machines.get_mut(&r.machine) else {
-            return ReportOutcome::default();
+            return HeartbeatOutcome::default();
         };
         let at = r.position();
         if m.newest.is_some_and(|newest| at <= newest) {
-            return ReportOutcome::default();
+            return HeartbeatOutcome::default();
         }
         let echoes = r.token == self.token;
-        let index = ReportIndex::new(r);
-        self.count_unheeded(r, &index, via, now);
+        let index = TaskStatusIndex::new(r);
+        self.count_unacknowledged(r, &index, via, now);
         let Some(m) = self.machines.get_mut(&r.machine) else {
-            return ReportOutcome::default();
+            return HeartbeatOutcome::default();
         };
         m.newest = Some(at);
         m.reported_at = now;
-        m.in_touch = true;
-        m.asked.clear();
+        m.is_reachable = true;
+        m.expected_effects.clear();
         if m.via != via {
             m.via = via.to_owned();
         }
-        // Guards against copies of old reports, and against reports of a machine that hears nobody: only what shows
+        // Guards against copies of old heartbeats, and against reports of a machine that hears nobody: only what shows
         // that our answers arrive is a sign of life for long.
-        if !m.is_deaf() {
+        if !m.is_inbound_unreachable() {
             m.last_contact = now;
         }
-        // Guards against a late copy bringing back a machine that an earlier leader returned: until a report shows
-        // this leader's token, only a machine rented by this leader is taken to be there.
-        let comes_up = m.life == Life::Booting && (echoes || m.rented_now);
+        // Guards against a late copy bringing back a machine that an earlier leader returned: until a heartbeat shows
+        // this leader's token, only a machine provisioned by this leader is taken to be there.
+        let comes_up =
+            m.state == MachineState::Provisioning && (echoes || m.is_provisioned_by_this_term);
         if comes_up {
-            m.life = Life::Up;
+            m.state = MachineState::Ready;
             m.idle_since = Some(now);
             m.images
                 .extend(self.known_images.remove(&r.machine).unwrap_or_default());
             m.written_images = m.image_names();
             let took = now.since(m.since);
             self.notes.push(format!(
-                "event=machine_up machine={} machine_type={} zone={} spot={} after={took}",
+                "event=machine_ready machine={} machine_type={} zone={} spot={} after={took}",
                 r.machine, r.machine_type, r.zone, r.spot
             ));
         }
         let noticed = r.notice_s.is_some() && m.notice.is_none();
         m.notice = r.notice_s.map(|s| now + Micros::from_secs_f64(s));
         if comes_up {
-            self.note_boot(&r.machine, true, now);
+            self.observe_provisioning(&r.machine, true, now);
         }
         let mut changed = self.reconcile_placements(r, &index, now);
         changed |= self.reconcile_unplaced(r, now);
         if noticed {
             self.notes
-                .push(format!("event=machine_notice machine={}", r.machine));
+                .push(format!("event=preemption_notice machine={}", r.machine));
             self.drain_for_notice(&r.machine);
         }
         if let Some(m) = self.machines.get_mut(&r.machine) {
@@ -87,18 +88,24 @@
                 m.idle_since = Some(now);
             }
         }
-        ReportOutcome {
+        HeartbeatOutcome {
             fresh: true,
             changed,
         }
     }
 
-    /// Counts the reports in a row that show no sign of the answers before them: a token that stays behind, orders
-    /// without any effect, a session that ended although we answered.
+    /// Counts the heartbeats in a row that show no sign of the answers before them: a token that stays behind, commands
+    /// without any effect, a agent epoch that ended although we answered.
     ///
     /// Guards against a machine whose reports arrive while answers do not reach it: silence never shows, and in id
     /// order the same task would be sent there again and again.
-    fn count_unheeded(&mut self, r: &Report, index: &ReportIndex<'_>, via: &str, now: Micros) {
+    fn count_unacknowledged(
+        &mut self,
+        r: &Heartbeat,
+        index: &TaskStatusIndex<'_>,
+        via: &str,
+        now: Micros,
+    ) {
         let lease = self.config.lease;
         let window = lease + self.config.report.scaled(2, 1);
         let Some(m) = self.machines.get_mut(&r.machine) else {
@@ -108,28 +115,29 @@
             return;
         };
         let behind = r.token < self.token;
-        let ended = r.session > newest.session && now.since(m.last_contact) < lease.scaled(1, 2);
-        let heeds = m.heeds(index);
+        let ended =
+            r.agent_epoch > newest.agent_epoch && now.since(m.last_contact) < lease.scaled(1, 2);
+        let heeds = m.acknowledges(index);
         // A worker that misses an answer turns to the next controller: one that stays was answered, if not by us.
         let stays = self.config.controllers > 1 && m.via == via;
         if behind || !stays && (ended || heeds == Some(false)) {
-            m.unheeded += 1;
-            m.unheeded_at = now;
-            if m.is_deaf() {
+            m.unacknowledged_heartbeats += 1;
+            m.unacknowledged_at = now;
+            if m.is_inbound_unreachable() {
                 self.details.push(format!(
-                    "event=unheeded machine={} count={}",
-                    r.machine, m.unheeded
+                    "event=heartbeat_unacknowledged machine={} count={}",
+                    r.machine, m.unacknowledged_heartbeats
                 ));
             }
-        } else if stays || heeds == Some(true) || now.since(m.unheeded_at) > window {
+        } else if stays || heeds == Some(true) || now.since(m.unacknowledged_at) > window {
             // Its lease would have run out by now if none of our answers had arrived.
-            m.unheeded = 0;
+            m.unacknowledged_heartbeats = 0;
         }
     }
 
-    /// Another controller hears these machines though their reports can't get here: they are alive.
+    /// Another controller hears these machines though their heartbeats can't get here: they are alive.
     pub fn on_contact(&mut self, node: &str, machines: &[MachineId], now: Micros) {
-        self.liveness.told.insert(node.to_owned(), now);
+        self.failure_detector.told.insert(node.to_owned(), now);
         for id in machines {
             if let Some(m) = self.machines.get_mut(id) {
                 m.last_contact = now;
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -3,9 +3,9 @@
 use super::ids::MachineId;
 use super::job_spec::JobSpec;
 use super::messages::TaskState;
-use super::records::{CHUNK, ChunkRecord, End};
+use super::records::{CHUNK_SIZE, ChunkRecord, JobEnd};
 use crate::units::Micros;
-use ravenhead_recovery::{Origin, Position, RecordedTask};
+use ravenhead_recovery::{HeartbeatPosition, Origin, RecordedTask};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -15,7 +15,7 @@
 /// deadline, which could not be met any more.
 const UNDATED: Micros = Micros::secs(600);
 /// Longest pause for a job that keeps failing.
-const MOST_BACKOFF: Micros = Micros::secs(30);
+const MAX_BACKOFF: Micros = Micros::secs(30);
 
 /// Why a task is being stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -37,9 +37,9 @@
     pub committed: bool,
     /// Whether an earlier leader made it, so that a start of that leader's may still be on its way.
     pub inherited: bool,
-    /// The report whose answer carried the start.
-    pub sent: Option<Position>,
-    /// Its state in the newest report.
+    /// The heartbeat whose answer carried the start.
+    pub sent: Option<HeartbeatPosition>,
+    /// Its state in the newest heartbeat.
     pub seen: Option<TaskState>,
     /// When it was first seen to run.
     pub running_since: Option<Micros>,
@@ -130,15 +130,15 @@
     }
 }
 
-/// A job that is not over, or whose tasks may still be on machines.
+/// A job that is not ended, or whose tasks may still be on machines.
 #[derive(Debug, Clone)]
 pub struct Job {
     /// What was asked for.
     pub spec: Rc<JobSpec>,
     /// When it was submitted, by the time of day.
     pub at: u64,
-    /// Whether it is over.
-    pub end: Option<End>,
+    /// Whether it has ended.
+    pub end: Option<JobEnd>,
     /// Whether a try to write its end is under way or done.
     pub ending: bool,
     /// Its chunks, as far as anything happened in them.
@@ -155,12 +155,12 @@
     pub failed_on: BTreeSet<MachineId>,
     /// Failures in a row, for backing off.
     pub failures: u32,
-    /// Whether it failed on so many machines, with no success between, that it is itself at fault.
-    pub at_fault: bool,
+    /// Whether it failed on so many machines, with no success between, that it is itself crash-looping.
+    pub crash_looping: bool,
     /// Whether a spot machine was taken with work of it that could not be saved.
     pub lost_on_spot: bool,
     /// Machines where tasks are being stopped for waiting ones of this job, and until when that is believed.
-    pub claims: Vec<(MachineId, Micros)>,
+    pub reservations: Vec<(MachineId, Micros)>,
     /// Until when a task of it that waits is one that was stopped only to be moved.
     pub moving_until: Micros,
     /// Since when it is offered with nothing of it placed.
@@ -169,7 +169,7 @@
 
 impl Job {
     /// A job of which nothing was placed yet.
-    pub fn new(spec: Rc<JobSpec>, at: u64, end: Option<End>, now: Micros) -> Job {
+    pub fn new(spec: Rc<JobSpec>, at: u64, end: Option<JobEnd>, now: Micros) -> Job {
         Job {
             spec,
             at,
@@ -182,9 +182,9 @@
             next_try: now,
             failed_on: BTreeSet::new(),
             failures: 0,
-            at_fault: false,
+            crash_looping: false,
             lost_on_spot: false,
-            claims: Vec::new(),
+            reservations: Vec::new(),
             moving_until: Micros::ZERO,
             stuck_since: None,
         }
@@ -223,12 +223,12 @@
         }
     }
 
-    /// Tasks that wait and may be offered now: of a job at fault one, and then none for a while.
+    /// Tasks that wait and may be offered now: of a job crash-looping one, and then none for a while.
     ///
-    /// Guards against a large job submitted with a mistake: all of its tasks would be started, and rented for, again and
+    /// Guards against a large job submitted with a mistake: all of its tasks would be started, and provisioned for, again and
     /// again, only to fail.
     pub fn open(&self) -> u32 {
-        if self.at_fault {
+        if self.crash_looping {
             self.waiting().min(1)
         } else {
             self.waiting()
@@ -237,7 +237,7 @@
 
     /// How long it pauses after its latest failure.
     pub fn pause(&self) -> Micros {
-        Micros::secs(1 << self.failures.min(5)).min(MOST_BACKOFF)
+        Micros::secs(1 << self.failures.min(5)).min(MAX_BACKOFF)
     }
 
     /// Whether its tasks may go to such a machine. What lost its work on a spot machine once does not try its luck again:
@@ -248,8 +248,8 @@
 
     /// The first waiting task at or after `from`.
     pub fn next_waiting(&self, from: u32) -> Option<u32> {
-        let mut expected = from / CHUNK;
-        let mut first = from % CHUNK;
+        let mut expected = from / CHUNK_SIZE;
+        let mut first = from % CHUNK_SIZE;
         for (number, chunk) in self.chunks.range(expected..) {
             // Nothing was ever placed of a chunk that is not there.
             if *number > expected {
@@ -257,13 +257,13 @@
             }
             let waiting = chunk.waiting_bits() >> first << first;
             if waiting != 0 {
-                let index = number * CHUNK + waiting.trailing_zeros();
+                let index = number * CHUNK_SIZE + waiting.trailing_zeros();
                 return (index < self.spec.tasks).then_some(index);
             }
             expected = number + 1;
             first = 0;
         }
-        let index = expected * CHUNK + first;
+        let index = expected * CHUNK_SIZE + first;
         (index < self.spec.tasks).then_some(index)
     }
 
@@ -285,30 +285,30 @@
     /// The placement of a task.
     pub fn placement(&self, index: u32) -> Option<&Placement> {
         self.chunks
-            .get(&(index / CHUNK))?
+            .get(&(index / CHUNK_SIZE))?
             .live
-            .get(&((index % CHUNK) as u8))
+            .get(&((index % CHUNK_SIZE) as u8))
     }
 
     /// The placement of a task, to change.
     pub fn placement_mut(&mut self, index: u32) -> Option<&mut Placement> {
         self.chunks
-            .get_mut(&(index / CHUNK))?
+            .get_mut(&(index / CHUNK_SIZE))?
             .live
-            .get_mut(&((index % CHUNK) as u8))
+            .get_mut(&((index % CHUNK_SIZE) as u8))
     }
 
     /// Whether a task is finished.
     pub fn is_finished(&self, index: u32) -> bool {
         self.chunks
-            .get(&(index / CHUNK))
-            .is_some_and(|c| c.finished >> (index % CHUNK) & 1 == 1)
+            .get(&(index / CHUNK_SIZE))
+            .is_some_and(|c| c.finished >> (index % CHUNK_SIZE) & 1 == 1)
     }
 
     /// Whether a finished task is written down as such.
     pub fn is_finish_committed(&self, index: u32) -> bool {
         self.chunks
-            .get(&(index / CHUNK))
-            .is_some_and(|c| c.finished_committed >> (index % CHUNK) & 1 == 1)
+            .get(&(index / CHUNK_SIZE))
+            .is_some_and(|c| c.finished_committed >> (index % CHUNK_SIZE) & 1 == 1)
     }
 }
--- a/src/scheduler/job_index.rs
+++ b/src/scheduler/job_index.rs
@@ -1,4 +1,4 @@
-//! Which jobs and tasks a round must look at, so that it does not look at all.
+//! Which jobs and tasks a scheduling cycle must look at, so that it does not look at all.
 //!
 //! Each set may hold more than it says, never less: whoever reads it checks the job or the task itself, and what is no
 //! more so is dropped when it is met.
@@ -14,7 +14,7 @@
     waiting: BTreeSet<JobId>,
     /// Jobs with waiting tasks at their next try, or earlier.
     tries: BTreeSet<(Micros, JobId)>,
-    claimants: BTreeSet<JobId>,
+    pending_reservations: BTreeSet<JobId>,
     stopping: BTreeSet<TaskId>,
 }
 
@@ -62,7 +62,7 @@
     /// A job is gone.
     pub(super) fn forget(&mut self, id: &JobId) {
         self.waiting.remove(id);
-        self.claimants.remove(id);
+        self.pending_reservations.remove(id);
     }
 
     /// Jobs with waiting tasks.
@@ -76,13 +76,13 @@
     }
 
     /// Room is being made for a job.
-    pub(super) fn note_claimant(&mut self, id: &JobId) {
-        self.claimants.insert(id.clone());
+    pub(super) fn note_pending_reservation(&mut self, id: &JobId) {
+        self.pending_reservations.insert(id.clone());
     }
 
     /// Jobs for which room is being made.
-    pub(super) fn claimants(&self) -> impl Iterator<Item = &JobId> {
-        self.claimants.iter()
+    pub(super) fn pending_reservations(&self) -> impl Iterator<Item = &JobId> {
+        self.pending_reservations.iter()
     }
 
     /// A task is being stopped.
@@ -97,8 +97,8 @@
 
     /// Drops what is no more so.
     pub(super) fn prune(&mut self, jobs: &BTreeMap<JobId, Job>) {
-        self.claimants
-            .retain(|id| jobs.get(id).is_some_and(|j| !j.claims.is_empty()));
+        self.pending_reservations
+            .retain(|id| jobs.get(id).is_some_and(|j| !j.reservations.is_empty()));
         self.stopping.retain(|task| {
             let job = jobs.get(&task.job);
             let placement = job.and_then(|j| j.placement(task.index));
--- a/src/scheduler/job_spec.rs
+++ b/src/scheduler/job_spec.rs
@@ -1,7 +1,7 @@
 //! A job as its user submitted it, and the checks that a submission must pass.
 
 use super::ids::JobId;
-use crate::units::Room;
+use crate::units::Resources;
 use serde::{Deserialize, Serialize};
 
 /// The most tasks a job may have.
@@ -62,7 +62,8 @@
     /// Processors of a task.
     pub cores: f64,
     /// Accelerators of a task.
-    pub cards: f64,
+    #[serde(rename = "cards")]
+    pub accelerators: f64,
     /// Memory of a task in GB.
     #[serde(rename = "ramGb")]
     pub ram_gb: f64,
@@ -120,7 +121,7 @@
         }
         let amounts = [
             ("cores", self.cores),
-            ("cards", self.cards),
+            ("cards", self.accelerators),
             ("ramGb", self.ram_gb),
             ("pullGb", self.image_gb),
             ("expectS", self.expect_s),
@@ -142,8 +143,8 @@
     }
 
     /// What one task takes.
-    pub fn need(&self) -> Room {
-        Room::new(self.cores, self.cards, self.ram_gb)
+    pub fn need(&self) -> Resources {
+        Resources::new(self.cores, self.accelerators, self.ram_gb)
     }
 
     /// Whether its tasks run only together.
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -2,35 +2,35 @@
 
 use super::ids::{JobId, TaskId};
 use super::job_spec::Priority;
-use super::messages::{ReportIndex, TaskState};
-use crate::units::{Micros, Room};
-use ravenhead_recovery::Position;
+use super::messages::{TaskState, TaskStatusIndex};
+use crate::units::{Micros, Resources};
+use ravenhead_recovery::HeartbeatPosition;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// After so many unheeded answers in a row a machine takes no more offers.
-const DOUBTFUL: u32 = 2;
-/// After so many its reports are no sign of life.
-const DEAF: u32 = 3;
+const SUSPECT_AFTER: u32 = 2;
+/// After so many its heartbeats are no sign of life.
+const INBOUND_UNREACHABLE_AFTER: u32 = 3;
 /// Most tasks on one machine.
 ///
-/// Guards against a report that is longer than a body may be: some 140 bytes a task at the most. A machine of which such a
+/// Guards against a heartbeat that is longer than a body may be: some 140 bytes a task at the most. A machine of which such a
 /// report was refused would lose its lease with everything on it.
-pub(super) const MOST_TASKS: usize = 400;
+pub(super) const MAX_TASKS_PER_MACHINE: usize = 400;
 
 /// An image's name and its size in GB.
 pub type CachedImage = (String, f64);
 
 /// How far a machine is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Life {
-    /// Rented; its worker has not reported to this leader.
-    Booting,
+pub enum MachineState {
+    /// Provisioned; its worker has not reported to this leader.
+    Provisioning,
     /// Its worker reports to this leader.
-    Up,
-    /// Takes nothing any more and is given back once it is empty.
+    Ready,
+    /// Takes nothing any more and is terminated once it is empty.
     Draining,
-    /// Being given back, with whatever is on it.
-    Returning,
+    /// Being terminated, with whatever is on it.
+    Terminating,
 }
 
 /// A machine.
@@ -43,31 +43,31 @@
     /// Whether spot.
     pub spot: bool,
     /// What it has in all.
-    pub total: Room,
+    pub total: Resources,
     /// What placements and unexpected tasks take of it.
-    pub used: Room,
-    /// Placed tasks. Changed by [`Machine::hold`] and [`Machine::release`] only.
-    pub held: BTreeMap<TaskId, Room>,
+    pub used: Resources,
+    /// Placed tasks. Changed by [`Machine::reserve_resources`] and [`Machine::release`] only.
+    pub held: BTreeMap<TaskId, Resources>,
     /// What they take, by their priority.
-    held_by: BTreeMap<Priority, Room>,
+    reserved_by_priority: BTreeMap<Priority, Resources>,
     /// Tasks on it that no placement covers, with their attempts.
-    pub extra: BTreeMap<(TaskId, u64), Room>,
-    /// Exited tasks in its newest report, with their attempts, still to be cleared.
+    pub unexpected_tasks: BTreeMap<(TaskId, u64), Resources>,
+    /// Exited tasks in its newest heartbeat, with their attempts, still to be cleared.
     pub exited: Vec<(TaskId, u64)>,
     /// How far it is.
-    pub life: Life,
+    pub state: MachineState,
     /// When its silence was last excused by a cut.
-    pub excused_at: Micros,
-    /// When it was rented, or first known of.
+    pub suspicion_suppressed_at: Micros,
+    /// When it was provisioned, or first known of.
     pub since: Micros,
-    /// The newest report.
-    pub newest: Option<Position>,
+    /// The newest heartbeat.
+    pub newest: Option<HeartbeatPosition>,
     /// When that came, or when this leader first knew of the machine.
     pub last_contact: Micros,
     /// When the cloud will take it, once it said so.
     pub notice: Option<Micros>,
     /// When the machine list first had it.
-    pub listed_at: Option<Micros>,
+    pub first_listed_at: Option<Micros>,
     /// Whether the machine list has it as up.
     pub listed_running: bool,
     /// Whether the cloud says that it is gone or has failed.
@@ -80,27 +80,27 @@
     pub failed_jobs: BTreeSet<JobId>,
     /// Since when nothing is on it.
     pub idle_since: Option<Micros>,
-    /// When its newest report came.
+    /// When its newest heartbeat came.
     pub reported_at: Micros,
-    /// Whether its reports get here, so that orders get there; not only another controller's word that it is alive.
-    pub in_touch: bool,
+    /// Whether its heartbeats get here, so that commands get there; not only another controller's word that it is alive.
+    pub is_reachable: bool,
     /// Whether its services are being moved to machines that have room, so that it can go back.
     pub consolidating: bool,
-    /// The controller that passed its newest report on; empty: the leader itself.
+    /// The controller that passed its newest heartbeat on; empty: the leader itself.
     pub via: String,
-    /// Whether this leader rented it, so that no report of it can be older than this term.
-    pub rented_now: bool,
+    /// Whether this leader provisioned it, so that no heartbeat of it can be older than this term.
+    pub is_provisioned_by_this_term: bool,
     /// Reports in a row that show no sign of the answers before them.
-    pub unheeded: u32,
+    pub unacknowledged_heartbeats: u32,
     /// When one was last counted.
-    pub unheeded_at: Micros,
-    /// Orders of the newest answer, whose effect the next report should show.
-    pub asked: Vec<(TaskId, u64, Asked)>,
+    pub unacknowledged_at: Micros,
+    /// Orders of the newest answer, whose effect the next heartbeat should show.
+    pub expected_effects: Vec<(TaskId, u64, ExpectedEffect)>,
 }
 
-/// What an order is to bring about.
+/// What a command is to bring about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asked {
+pub enum ExpectedEffect {
     /// The attempt is on the machine.
     Run,
     /// It does not run any more.
@@ -109,13 +109,15 @@
     Clear,
 }
 
-impl Asked {
-    /// Whether a report with the attempt in this state, or without it, shows the effect.
+impl ExpectedEffect {
+    /// Whether a heartbeat with the attempt in this state, or without it, shows the effect.
     fn is_shown(self, state: Option<TaskState>) -> bool {
         match self {
-            Asked::Run => state.is_some(),
-            Asked::Stop => state.is_none_or(|s| matches!(s, TaskState::Exited | TaskState::Saving)),
-            Asked::Clear => state.is_none(),
+            ExpectedEffect::Run => state.is_some(),
+            ExpectedEffect::Stop => {
+                state.is_none_or(|s| matches!(s, TaskState::Exited | TaskState::Saving))
+            }
+            ExpectedEffect::Clear => state.is_none(),
         }
     }
 }
@@ -127,70 +129,73 @@
             machine_type: String::new(),
             zone: String::new(),
             spot: false,
-            total: Room::default(),
-            used: Room::default(),
+            total: Resources::default(),
+            used: Resources::default(),
             held: BTreeMap::new(),
-            held_by: BTreeMap::new(),
-            extra: BTreeMap::new(),
+            reserved_by_priority: BTreeMap::new(),
+            unexpected_tasks: BTreeMap::new(),
             exited: Vec::new(),
-            life: Life::Booting,
+            state: MachineState::Provisioning,
             since: now,
             newest: None,
             last_contact: now,
             notice: None,
-            listed_at: None,
+            first_listed_at: None,
             listed_running: false,
             lost: false,
             images: Vec::new(),
             written_images: BTreeSet::new(),
             failed_jobs: BTreeSet::new(),
             idle_since: None,
-            excused_at: Micros::ZERO,
+            suspicion_suppressed_at: Micros::ZERO,
             reported_at: now,
-            in_touch: false,
+            is_reachable: false,
             consolidating: false,
             via: String::new(),
-            rented_now: false,
-            unheeded: 0,
-            unheeded_at: Micros::ZERO,
-            asked: Vec::new(),
+            is_provisioned_by_this_term: false,
+            unacknowledged_heartbeats: 0,
+            unacknowledged_at: Micros::ZERO,
+            expected_effects: Vec::new(),
         }
     }
 
     /// A task is placed on it.
-    pub fn hold(&mut self, task: TaskId, need: Room, priority: Priority) {
+    pub fn reserve_resources(&mut self, task: TaskId, need: Resources, priority: Priority) {
         self.used += need;
-        *self.held_by.entry(priority).or_default() += need;
+        *self.reserved_by_priority.entry(priority).or_default() += need;
         self.held.insert(task, need);
     }
 
     /// A task is off it.
-    pub fn release(&mut self, task: &TaskId, need: Room, priority: Priority) {
+    pub fn release(&mut self, task: &TaskId, need: Resources, priority: Priority) {
         if self.held.remove(task).is_none() {
             return;
         }
         self.used -= need;
-        if let Some(held) = self.held_by.get_mut(&priority) {
+        if let Some(held) = self.reserved_by_priority.get_mut(&priority) {
             *held -= need;
-            if *held == Room::default() {
-                self.held_by.remove(&priority);
+            if *held == Resources::default() {
+                self.reserved_by_priority.remove(&priority);
             }
         }
     }
 
     /// What tasks of a lower priority take.
-    pub fn held_below(&self, priority: Priority) -> Room {
-        let below = self.held_by.range(..priority).map(|(_, room)| *room);
-        below.fold(Room::default(), |all, room| all + room)
+    pub fn reserved_below(&self, priority: Priority) -> Resources {
+        let below = self
+            .reserved_by_priority
+            .range(..priority)
+            .map(|(_, room)| *room);
+        below.fold(Resources::default(), |all, room| all + room)
     }
 
     /// Whether it holds a task of a lower priority.
-    pub fn holds_below(&self, priority: Priority) -> bool {
-        self.held_by.range(..priority).next().is_some()
+    pub fn has_reserved_below(&self, priority: Priority) -> bool {
+        self.reserved_by_priority.range(..priority).next().is_some()
     }
 
     /// Free room: what is there less everything that may be on it.
-    pub fn free(&self) -> Room {
+    pub fn free(&self) -> Resources {
         self.total - self.used
     }
 
@@ -223,46 +228,46 @@
                 .all(|(n, _)| self.written_images.contains(n))
     }
 
-    /// How many tasks its next report will name: those placed, those that nobody placed, and those not cleared yet.
+    /// How many tasks its next heartbeat will name: those placed, those that nobody placed, and those not cleared yet.
     pub fn reported_tasks(&self) -> usize {
-        self.held.len() + self.extra.len() + self.exited.len()
+        self.held.len() + self.unexpected_tasks.len() + self.exited.len()
     }
 
     /// Whether nothing is on it.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty() && self.extra.is_empty()
+        self.held.is_empty() && self.unexpected_tasks.is_empty()
     }
 
     /// Whether its silence would mean something: it is up, or should hold tasks.
     pub fn is_counted(&self) -> bool {
-        self.life == Life::Up || !self.held.is_empty()
+        self.state == MachineState::Ready || !self.held.is_empty()
     }
 
     /// Whether it may be offered tasks, room aside.
     pub fn takes_offers(&self) -> bool {
-        self.life == Life::Up
+        self.state == MachineState::Ready
             && self.notice.is_none()
             && !self.lost
-            && self.in_touch
-            && !self.is_doubtful()
+            && self.is_reachable
+            && !self.is_suspect()
     }
 
-    /// Whether its reports arrive but our answers seem not to reach it. One lost answer says nothing yet.
-    pub fn is_doubtful(&self) -> bool {
-        self.unheeded >= DOUBTFUL
+    /// Whether its heartbeats arrive but our answers seem not to reach it. One lost answer says nothing yet.
+    pub fn is_suspect(&self) -> bool {
+        self.unacknowledged_heartbeats >= SUSPECT_AFTER
     }
 
-    /// Whether its reports count as signs of life no more, as it heeds no answer.
-    pub fn is_deaf(&self) -> bool {
-        self.unheeded >= DEAF
+    /// Whether its heartbeats count as signs of life no more, as it heeds no answer.
+    pub fn is_inbound_unreachable(&self) -> bool {
+        self.unacknowledged_heartbeats >= INBOUND_UNREACHABLE_AFTER
     }
 
-    /// Whether a report shows an effect of the orders in the answer before it; none if there were none.
-    pub fn heeds(&self, report: &ReportIndex<'_>) -> Option<bool> {
-        if self.asked.is_empty() {
+    /// Whether a heartbeat shows an effect of the commands in the answer before it; none if there were none.
+    pub fn acknowledges(&self, report: &TaskStatusIndex<'_>) -> Option<bool> {
+        if self.expected_effects.is_empty() {
             return None;
         }
-        let shown = self.asked.iter().any(|(task, attempt, asked)| {
+        let shown = self.expected_effects.iter().any(|(task, attempt, asked)| {
             let found = report.get(task, *attempt);
             asked.is_shown(found.map(|t| t.state))
         });
--- a/src/scheduler/machine_type.rs
+++ b/src/scheduler/machine_type.rs
@@ -1,6 +1,6 @@
 //! Machine types as the cloud offers them.
 
-use crate::units::{Micros, Room};
+use crate::units::{Micros, Resources};
 use serde::{Deserialize, Serialize};
 
 /// A machine type.
@@ -12,7 +12,8 @@
     /// Processors.
     pub cores: f64,
     /// Accelerators.
-    pub cards: f64,
+    #[serde(rename = "cards")]
+    pub accelerators: f64,
     /// Memory in GB.
     #[serde(rename = "ramGb")]
     pub ram_gb: f64,
@@ -38,8 +39,8 @@
 
 impl MachineType {
     /// What a machine of this type has.
-    pub fn room(&self) -> Room {
-        Room::new(self.cores, self.cards, self.ram_gb)
+    pub fn resources(&self) -> Resources {
+        Resources::new(self.cores, self.accelerators, self.ram_gb)
     }
 
     /// Usual boot time.
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -1,8 +1,8 @@
-//! What workers and the leader tell each other: reports and orders.
+//! What workers and the leader tell each other: reports and commands.
 
 use super::ids::{MachineId, TaskId};
 use bitcode::{Decode, Encode};
-use ravenhead_recovery::{Position, ReportedState};
+use ravenhead_recovery::{HeartbeatPosition, ReportedState};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
@@ -47,9 +47,9 @@
     Other,
 }
 
-/// A task in a report.
+/// A task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Encode, Decode)]
-pub struct ReportedTask {
+pub struct TaskStatus {
     /// The task.
     #[serde(rename = "take")]
     pub task: String,
@@ -64,7 +64,7 @@
     pub cause: Option<ExitCause>,
 }
 
-impl ReportedTask {
+impl TaskStatus {
     /// Its state as reconciliation sees it.
     pub fn outcome(&self) -> ReportedState {
         match (self.state, self.cause) {
@@ -75,9 +75,9 @@
     }
 }
 
-/// A worker's report.
+/// A worker's heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Encode, Decode)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine.
     #[serde(rename = "host")]
     pub machine: MachineId,
@@ -90,12 +90,12 @@
     /// Whether the cloud may take it back.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The worker's session.
+    /// The worker's agent epoch.
     #[serde(rename = "watch")]
-    pub session: u64,
-    /// Rises with every message of a session.
+    pub agent_epoch: u64,
+    /// Rises with every message of a agent epoch.
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     /// Highest token seen.
     #[serde(rename = "warrant")]
     pub token: u64,
@@ -104,33 +104,33 @@
     pub notice_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "takes")]
-    pub tasks: Vec<ReportedTask>,
+    pub tasks: Vec<TaskStatus>,
 }
 
-impl Report {
+impl Heartbeat {
     /// Where it stands among its machine's messages.
-    pub fn position(&self) -> Position {
-        Position {
-            session: self.session,
-            sequence: self.seq,
+    pub fn position(&self) -> HeartbeatPosition {
+        HeartbeatPosition {
+            agent_epoch: self.agent_epoch,
+            sequence: self.sequence,
         }
     }
 }
 
-/// The tasks of a report by their name and attempt.
+/// The tasks of a heartbeat by their name and attempt.
 ///
-/// Guards against a walk over all tasks of a report for each placement and for each order that it may answer.
-pub struct ReportIndex<'a>(HashMap<(&'a str, u64), &'a ReportedTask>);
+/// Guards against a walk over all tasks of a heartbeat for each placement and for each command that it may answer.
+pub struct TaskStatusIndex<'a>(HashMap<(&'a str, u64), &'a TaskStatus>);
 
-impl<'a> ReportIndex<'a> {
-    /// The index of a report.
-    pub fn new(report: &'a Report) -> ReportIndex<'a> {
+impl<'a> TaskStatusIndex<'a> {
+    /// The index of a heartbeat.
+    pub fn new(report: &'a Heartbeat) -> TaskStatusIndex<'a> {
         let tasks = report.tasks.iter();
-        ReportIndex(tasks.map(|t| ((t.task.as_str(), t.attempt), t)).collect())
+        TaskStatusIndex(tasks.map(|t| ((t.task.as_str(), t.attempt), t)).collect())
     }
 
     /// What is reported of an attempt of a task.
-    pub fn get(&self, task: &TaskId, attempt: u64) -> Option<&'a ReportedTask> {
+    pub fn get(&self, task: &TaskId, attempt: u64) -> Option<&'a TaskStatus> {
         if self.0.is_empty() {
             return None;
         }
@@ -142,7 +142,7 @@
 /// A command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Encode, Decode)]
 #[serde(tag = "verb", rename_all = "lowercase")]
-pub enum Order {
+pub enum AgentCommand {
     /// Start a task.
     Run {
         /// The task.
@@ -164,7 +164,7 @@
         #[serde(rename = "slackS")]
         slack_s: f64,
     },
-    /// Drop an exited task from the reports.
+    /// Drop an exited task from the heartbeats.
     Clear {
         /// The task.
         #[serde(rename = "take")]
--- a/src/scheduler/messages/tests.rs
+++ b/src/scheduler/messages/tests.rs
@@ -8,7 +8,7 @@
             {"take": "j-1/0", "try": 2, "status": "dreaming"},
             {"take": "j-1/1", "try": 2, "status": "exited", "cause": "bored"},
             {"take": "j-1/2", "try": 1, "status": "exited", "cause": "no_room"}]});
-    let report: Report = serde_json::from_value(body).expect("a report");
+    let report: Heartbeat = serde_json::from_value(body).expect("a report");
     assert_eq!(report.tasks[0].state, TaskState::Other);
     assert_eq!(report.tasks[1].cause, Some(ExitCause::Other));
     assert_eq!(report.tasks[2].cause, Some(ExitCause::NoRoom));
@@ -16,7 +16,7 @@
 
 #[test]
 fn orders_have_the_wires_form() {
-    let order = Order::Stop {
+    let order = AgentCommand::Stop {
         task: "j-1/0".into(),
         attempt: 3,
         slack_s: 10.0,
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,15 +1,16 @@
-//! The pure core: events and a time go in, writes, orders and fleet wishes come out.
+//! The pure core: events and a time go in, writes, commands and fleet wishes come out.
 //!
 //! It has no I/O, no clock and no randomness of its own. What may be told to workers follows from what the
 //! controller reports as written: a start is given out only after its placement was, a `clear` only after the finish.
 
-mod blame;
-mod boots;
 mod candidates;
+mod commands;
 mod consolidation;
+mod failure_attribution;
 mod failure_detection;
-mod fair;
+mod fair_share;
 mod fleet;
+mod heartbeats;
 mod ids;
 mod job;
 mod job_index;
@@ -18,32 +19,31 @@
 mod machine_type;
 mod messages;
 mod offers;
-mod orders;
-mod preempt;
+mod preemption;
+mod provisioning_times;
 mod quota;
 mod rebuild;
 mod reconciliation;
 mod records;
 mod recovery;
-mod rental_plan;
-mod reports;
 mod reserve;
+mod scale_out;
 #[cfg(test)]
 mod scenarios;
 mod writes;
 
-pub use fleet::{FleetPlan, Pool, RentalRequest};
+pub use fleet::{FleetPlan, Pool, ScaleOutRequest};
 pub use ids::{JobId, MachineId, TaskId};
 pub use job::{Chunk, Job, Placement, StopReason};
 pub use job_spec::{JobSpec, MAX_TASKS, Priority, Shape};
-pub use machine::{Asked, CachedImage, Life, Machine};
+pub use machine::{CachedImage, ExpectedEffect, Machine, MachineState};
 pub use machine_type::MachineType;
-pub use messages::{ExitCause, Order, Report, ReportedTask, TaskState};
-pub use records::{CHUNK, ChunkRecord, End, Final, JobRecord};
+pub use messages::{AgentCommand, ExitCause, Heartbeat, TaskState, TaskStatus};
+pub use records::{CHUNK_SIZE, ChunkRecord, JobEnd, JobOutcome, JobRecord};
 
 pub use writes::Write;
 
-use crate::units::{Micros, Room};
+use crate::units::{Micros, Resources};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::rc::Rc;
@@ -59,13 +59,13 @@
     pub idle: Option<Micros>,
     /// Free places kept for classes that can't wait for a boot; none: derived from their arrivals.
     pub reserve: Option<u32>,
-    /// Most offers in one round; beyond, samples of machines are asked.
-    pub offers_per_round: usize,
-    /// Most machines rented in one round.
-    pub rent_per_round: usize,
+    /// Most offers in one scheduling cycle; beyond, samples of machines are asked.
+    pub max_offers_per_cycle: usize,
+    /// Most machines provisioned in one scheduling cycle.
+    pub max_scale_out_per_cycle: usize,
     /// Number of controllers.
     pub controllers: usize,
-    /// Interval of reports.
+    /// Interval of heartbeats.
     pub report: Micros,
     /// How long workers live without an answer.
     pub lease: Micros,
@@ -83,70 +83,70 @@
 
 /// A team's guarantee and limit; `None` where there is none.
 #[derive(Debug, Clone, Default)]
-pub struct TeamShare {
+pub struct TeamQuota {
     /// Guaranteed processors and accelerators.
-    pub guaranteed: [Option<i64>; 2],
+    pub guarantee: [Option<i64>; 2],
     /// Most processors and accelerators.
-    pub most: [Option<i64>; 2],
+    pub limit: [Option<i64>; 2],
 }
 
 /// Another controller, as the leader sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Controller {
+pub struct ControllerStatus {
     /// Its name.
     pub node: String,
     /// Its zone.
     pub zone: String,
     /// Whether it answered lately.
-    pub answers: bool,
+    pub is_reachable: bool,
 }
 
 /// The scheduler of one leader, for the time of its token.
 pub struct Scheduler {
     config: SchedulerConfig,
     token: u64,
-    began: Micros,
+    started_at: Micros,
     /// The time of the latest report or round.
     latest: Micros,
     /// No attempt is lower.
-    least_attempt: u64,
+    min_attempt: u64,
     /// The time of day, in microseconds, as of the last plan of the fleet.
     unix_time: u64,
     rng: fastrand::Rng,
-    teams: BTreeMap<String, TeamShare>,
+    teams: BTreeMap<String, TeamQuota>,
     machine_types: BTreeMap<String, MachineType>,
     jobs: BTreeMap<JobId, Job>,
     machines: BTreeMap<MachineId, Machine>,
-    team_used: BTreeMap<String, Room>,
-    /// Which jobs are within their team's guarantee, as of the last round.
+    team_used: BTreeMap<String, Resources>,
+    /// Which jobs are within their team's guarantee, as of the last scheduling cycle.
     guarantees: quota::Guarantees,
-    /// Which jobs and tasks a round must look at.
+    /// Which jobs and tasks a scheduling cycle must look at.
     job_index: job_index::JobIndex,
-    /// What work without accelerators leaves for each free one, by its priority, as of the last round.
-    beside_a_card: BTreeMap<Priority, Room>,
+    /// What work without accelerators leaves for each free one, by its priority, as of the last scheduling cycle.
+    accelerator_headroom: BTreeMap<Priority, Resources>,
     /// Chunks to be written, those of the highest priority first.
     dirty: BTreeSet<writes::ChunkPlace>,
     /// Chunks whose changes wait for others of their job, as writes are short.
     deferred: writes::Deferred,
     finished: BTreeSet<JobId>,
-    over: BTreeSet<JobId>,
+    terminal: BTreeSet<JobId>,
     /// Machines whose images are to be written down.
     new_images: BTreeSet<MachineId>,
     /// Images of machines that have not reported to this leader yet.
     known_images: BTreeMap<MachineId, Vec<CachedImage>>,
-    gone: HashSet<MachineId>,
-    gone_order: VecDeque<MachineId>,
-    boots: boots::Boots,
+    terminated: HashSet<MachineId>,
+    terminated_order: VecDeque<MachineId>,
+    provisioning_times: provisioning_times::ProvisioningTimes,
     fleet: fleet::Fleet,
     demand: reserve::Demand,
     consolidation: consolidation::Consolidation,
-    fair: fair::Fair,
-    liveness: failure_detection::Liveness,
+    fair_share: fair_share::FairShare,
+    failure_detector: failure_detection::FailureDetector,
     recovery: Option<recovery::Recovery>,
     rebuild: Option<rebuild::Rebuild>,
     notes: Vec<String>,
     details: Vec<String>,
-    /// Offers made in the last round, for bounding and for tests.
+    /// Offers made in the last scheduling cycle, for bounding and for tests.
     pub offers_made: usize,
     /// Steps of loops over machines, jobs and tasks so far, for tests that bound the work.
     steps: Cell<u64>,
@@ -156,7 +156,7 @@
     /// A scheduler that knows nothing yet.
     pub fn new(
         config: SchedulerConfig,
-        teams: BTreeMap<String, TeamShare>,
+        teams: BTreeMap<String, TeamQuota>,
         token: u64,
         seed: u64,
         now: Micros,
@@ -164,9 +164,9 @@
         Scheduler {
             config,
             token,
-            began: now,
+            started_at: now,
             latest: now,
-            least_attempt: 0,
+            min_attempt: 0,
             unix_time: 0,
             rng: fastrand::Rng::with_seed(seed),
             teams,
@@ -176,21 +176,21 @@
             team_used: BTreeMap::new(),
             guarantees: quota::Guarantees::default(),
             job_index: job_index::JobIndex::default(),
-            beside_a_card: BTreeMap::new(),
+            accelerator_headroom: BTreeMap::new(),
             dirty: BTreeSet::new(),
             deferred: writes::Deferred::default(),
             finished: BTreeSet::new(),
-            over: BTreeSet::new(),
+            terminal: BTreeSet::new(),
             new_images: BTreeSet::new(),
             known_images: BTreeMap::new(),
-            gone: HashSet::new(),
-            gone_order: VecDeque::new(),
-            boots: boots::Boots::default(),
+            terminated: HashSet::new(),
+            terminated_order: VecDeque::new(),
+            provisioning_times: provisioning_times::ProvisioningTimes::default(),
             fleet: fleet::Fleet::default(),
             demand: reserve::Demand::default(),
             consolidation: consolidation::Consolidation::default(),
-            fair: fair::Fair::default(),
-            liveness: failure_detection::Liveness::default(),
+            fair_share: fair_share::FairShare::default(),
+            failure_detector: failure_detection::FailureDetector::default(),
             recovery: None,
             rebuild: None,
             notes: Vec::new(),
@@ -231,7 +231,7 @@
             .collect();
         for machine in self.machines.values_mut() {
             if let Some(machine_type) = self.machine_types.get(&machine.machine_type) {
-                machine.total = machine_type.room();
+                machine.total = machine_type.resources();
             }
         }
     }
@@ -240,7 +240,7 @@
     pub fn add_job(
         &mut self,
         record: &JobRecord,
-        end: Option<End>,
+        end: Option<JobEnd>,
         chunks: impl Iterator<Item = (u32, ChunkRecord, u64)>,
         now: Micros,
     ) {
@@ -254,7 +254,7 @@
             let chunk = Chunk::inherit(&record, version);
             job.done += chunk.finished.count_ones();
             for (i, p) in &chunk.live {
-                placed.push((number * CHUNK + u32::from(*i), p.machine.clone()));
+                placed.push((number * CHUNK_SIZE + u32::from(*i), p.machine.clone()));
             }
             job.chunks.insert(number, chunk);
         }
@@ -268,11 +268,11 @@
         if all_done && end.is_none() {
             self.finished.insert(id.clone());
         }
-        self.check_over(&id);
+        self.check_terminal(&id);
     }
 
     /// A job was ended, by its user or by this leader.
-    pub fn end_job(&mut self, id: &JobId, end: End) {
+    pub fn end_job(&mut self, id: &JobId, end: JobEnd) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -285,7 +285,7 @@
         self.finished.remove(id);
         self.note_waiting(id);
         self.drop_unwritten(id);
-        self.check_over(id);
+        self.check_terminal(id);
     }
 
     /// A commit found the job over already: nothing of it may be started, though how it ended is not known yet.
@@ -321,7 +321,7 @@
 
     /// Counts a task in on a machine, whose placement stands in its chunk already.
     fn hold(&mut self, id: &JobId, index: u32, machine: &MachineId, now: Micros) {
-        let began = self.began.max(now);
+        let began = self.started_at.max(now);
         let m = self
             .machines
             .entry(machine.clone())
@@ -340,7 +340,7 @@
             job: id.clone(),
             index,
         };
-        m.hold(task, need, priority);
+        m.reserve_resources(task, need, priority);
     }
 
     /// Takes a placement out, because its task is proven to be off its machine or was never sent there.
@@ -348,10 +348,10 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let Some(chunk) = job.chunks.get_mut(&(index / CHUNK)) else {
+        let Some(chunk) = job.chunks.get_mut(&(index / CHUNK_SIZE)) else {
             return;
         };
-        let Some(placement) = chunk.live.remove(&((index % CHUNK) as u8)) else {
+        let Some(placement) = chunk.live.remove(&((index % CHUNK_SIZE) as u8)) else {
             return;
         };
         let need = job.spec.need();
@@ -371,19 +371,19 @@
             };
             m.release(&task, need, priority);
         }
-        self.note_change(id, index / CHUNK);
+        self.note_change(id, index / CHUNK_SIZE);
         if placement.stopping == Some(StopReason::Preempted) {
-            self.wake_claimants(&placement.machine);
+            self.wake_pending_reservations(&placement.machine);
         }
-        self.check_over(id);
+        self.check_terminal(id);
     }
 
     /// Makes the jobs due for which room was made on a machine, so that no other takes it first.
-    fn wake_claimants(&mut self, machine: &MachineId) {
+    fn wake_pending_reservations(&mut self, machine: &MachineId) {
         let mut woken = Vec::new();
-        for id in self.job_index.claimants() {
+        for id in self.job_index.pending_reservations() {
             if let Some(job) = self.jobs.get_mut(id)
-                && job.claims.iter().any(|(m, _)| m == machine)
+                && job.reservations.iter().any(|(m, _)| m == machine)
             {
                 job.next_try = Micros::ZERO;
                 woken.push(id.clone());
@@ -405,8 +405,8 @@
         if job.is_finished(index) || job.spec.shape == Shape::Service {
             return;
         }
-        let chunk = job.chunks.entry(index / CHUNK).or_default();
-        chunk.finished |= 1 << (index % CHUNK);
+        let chunk = job.chunks.entry(index / CHUNK_SIZE).or_default();
+        chunk.finished |= 1 << (index % CHUNK_SIZE);
         job.done += 1;
         job.failures = 0;
         self.guarantees.note_change(&job.spec.team);
@@ -415,7 +415,7 @@
             self.finished.insert(id.clone());
             self.stop_deferring(id);
         }
-        self.note_change(id, index / CHUNK);
+        self.note_change(id, index / CHUNK_SIZE);
     }
 
     /// Something changed in a chunk.
@@ -455,13 +455,13 @@
         }
     }
 
-    fn check_over(&mut self, id: &JobId) {
+    fn check_terminal(&mut self, id: &JobId) {
         if self
             .jobs
             .get(id)
             .is_some_and(|j| j.end.is_some() && j.live == 0)
         {
-            self.over.insert(id.clone());
+            self.terminal.insert(id.clone());
         }
     }
 }
@@ -472,7 +472,7 @@
         chunk
             .live
             .iter()
-            .map(move |(i, p)| (number * CHUNK + u32::from(*i), p))
+            .map(move |(i, p)| (number * CHUNK_SIZE + u32::from(*i), p))
     })
 }
 
--- a/src/scheduler/offers.rs
+++ b/src/scheduler/offers.rs
@@ -1,23 +1,23 @@
 //! The ordinary path: due jobs are offered to machines in id order, and the first that accepts takes the task.
 
-use super::candidates::{Candidates, Order};
+use super::candidates::{Candidates, SearchOrder};
 use super::ids::{JobId, MachineId, TaskId};
 use super::job::{Job, Placement, StopReason};
 use super::job_spec::Priority;
-use super::preempt::MakeRoom;
-use super::records::CHUNK;
+use super::preemption::PreemptionPass;
+use super::records::CHUNK_SIZE;
 use super::{Scheduler, live_tasks, spec_of};
-use crate::units::{Micros, Room};
+use crate::units::{Micros, Resources};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tasks of one job placed in one round, so that one huge job can't take the whole round; or one for each machine, where
+/// Tasks of one job placed in one scheduling cycle, so that one huge job can't take the whole round; or one for each machine, where
 /// they are more.
 const TASKS_PER_JOB: usize = 512;
-/// Of a round's offers each job may count on so many; where more jobs wait, they are offered less often.
+/// Of a scheduling cycle's offers each job may count on so many; where more jobs wait, they are offered less often.
 const OFFERS_PER_JOB: usize = 16;
 /// A sample holds at least so many machines.
-const LEAST_SAMPLE: usize = 8;
+const MIN_SAMPLE: usize = 8;
 
 /// With so many machines for each task of a job, what must be fetched anyway is fetched by as many as it has tasks.
 const MACHINES_PER_TASK: usize = 50;
@@ -37,7 +37,7 @@
 
 impl Scheduler {
     /// One round: offers every due job, then makes room for what must not wait.
-    pub fn round(&mut self, now: Micros) {
+    pub fn run_cycle(&mut self, now: Micros) {
         self.latest = now;
         self.offers_made = 0;
         self.refresh_guarantees();
@@ -48,10 +48,10 @@
         if due.is_empty() {
             return;
         }
-        self.keep_for_long_waiting(now);
+        self.reserve_for_long_waiting(now);
         let mut machines = self.candidates(&due);
-        let mut room = MakeRoom::new(self.coming_room(now));
-        self.beside_a_card = self.room_beside_a_card(&due);
+        let mut room = PreemptionPass::new(self.coming_room(now));
+        self.accelerator_headroom = self.compute_accelerator_headroom(&due);
         let sample = self.sample_size(due.len(), machines.len());
         if sample < machines.len() {
             self.details.push(format!(
@@ -60,9 +60,9 @@
                 machines.len()
             ));
         }
-        for id in &self.with_claimants(&due) {
+        for id in &self.with_pending_reservations(&due) {
             if !due.contains(id) {
-                self.hold_claims(id, &mut machines);
+                self.apply_reservations(id, &mut machines);
                 continue;
             }
             let before = self.jobs.get(id).map_or(0, Job::waiting);
@@ -76,14 +76,14 @@
         self.count_steps(machines.steps());
     }
 
-    /// The machines that a job is offered to in this round: all of them, or a sample where that would be too many offers.
-    fn order_for(&mut self, id: &JobId, machines: &mut Candidates, sample: usize) -> Order {
+    /// The machines that a job is offered to in this scheduling cycle: all of them, or a sample where that would be too many offers.
+    fn order_for(&mut self, id: &JobId, machines: &mut Candidates, sample: usize) -> SearchOrder {
         let need = self.jobs.get(id).map(|job| job.spec.need());
         match need {
             Some(need) if sample < machines.len() => {
-                Order::Some(machines.sample(&need, sample, &mut self.rng))
+                SearchOrder::Some(machines.sample(&need, sample, &mut self.rng))
             }
-            _ => Order::All,
+            _ => SearchOrder::All,
         }
     }
 
@@ -92,8 +92,8 @@
         &mut self,
         id: &JobId,
         machines: &mut Candidates,
-        order: &Order,
-        room: &mut MakeRoom,
+        order: &SearchOrder,
+        room: &mut PreemptionPass,
         now: Micros,
     ) {
         let Some(job) = self.jobs.get(id) else { return };
@@ -109,7 +109,7 @@
             ..any
         };
         // What takes no accelerators first takes what is left beside those in use.
-        if spec.cards == 0.0 {
+        if spec.accelerators == 0.0 {
             let beside_cards = true;
             let beside = Pass {
                 beside_cards,
@@ -134,13 +134,16 @@
         }
         self.offer(id, machines, order, any, now);
         self.preempt_for(id, false, room, now);
-        self.hold_claims(id, machines);
+        self.apply_reservations(id, machines);
     }
 
     /// These jobs and those that wait for room being made for them, in their order.
-    fn with_claimants(&self, due: &BTreeSet<JobId>) -> Vec<JobId> {
-        let claimants = self.job_index.claimants().filter(|id| !due.contains(*id));
-        let concerned = due.iter().chain(claimants);
+    fn with_pending_reservations(&self, due: &BTreeSet<JobId>) -> Vec<JobId> {
+        let pending_reservations = self
+            .job_index
+            .pending_reservations()
+            .filter(|id| !due.contains(*id));
+        let concerned = due.iter().chain(pending_reservations);
         let mut all: Vec<&Job> = concerned.filter_map(|id| self.jobs.get(id)).collect();
         self.sort_by_turn(&mut all);
         all.into_iter().map(|j| j.spec.id.clone()).collect()
@@ -150,10 +153,10 @@
     ///
     /// Guards against room for a large task that frees bit by bit, each of which a smaller one takes: stops would be
     /// ordered for ever, and the large task would never begin.
-    fn hold_claims(&self, id: &JobId, machines: &mut Candidates) {
+    fn apply_reservations(&self, id: &JobId, machines: &mut Candidates) {
         let Some(job) = self.jobs.get(id) else { return };
         let need = job.spec.need();
-        for (machine, _) in &job.claims {
+        for (machine, _) in &job.reservations {
             if let Some(i) = machines.position(machine) {
                 machines.take(i, &need);
             }
@@ -165,9 +168,13 @@
     ///
     /// Guards against thousands of tasks without accelerators that use up the processors beside free ones: those would
     /// be paid for, and of no use to anybody.
-    fn room_beside_a_card(&self, due: &BTreeSet<JobId>) -> BTreeMap<Priority, Room> {
-        let mut beside: BTreeMap<Priority, Room> = BTreeMap::new();
-        let takes_none = |id: &JobId| self.jobs.get(id).is_some_and(|j| j.spec.cards == 0.0);
+    fn compute_accelerator_headroom(&self, due: &BTreeSet<JobId>) -> BTreeMap<Priority, Resources> {
+        let mut beside: BTreeMap<Priority, Resources> = BTreeMap::new();
+        let takes_none = |id: &JobId| {
+            self.jobs
+                .get(id)
+                .is_some_and(|j| j.spec.accelerators == 0.0)
+        };
         if !due.iter().any(takes_none) {
             return beside;
         }
@@ -175,10 +182,14 @@
         for job in self
             .jobs
             .values()
-            .filter(|j| j.spec.cards > 0.0 && !j.ending)
+            .filter(|j| j.spec.accelerators > 0.0 && !j.ending)
         {
             let spec = &job.spec;
-            let one = Room::new(spec.cores / spec.cards, 0.0, spec.ram_gb / spec.cards);
+            let one = Resources::new(
+                spec.cores / spec.accelerators,
+                0.0,
+                spec.ram_gb / spec.accelerators,
+            );
             for priority in [
                 Priority::Low,
                 Priority::Normal,
@@ -188,7 +199,7 @@
                 if priority <= spec.priority {
                     let most = beside.entry(priority).or_default();
                     most.cores = most.cores.max(one.cores);
-                    most.ram = most.ram.max(one.ram);
+                    most.memory = most.memory.max(one.memory);
                 }
             }
         }
@@ -201,12 +212,12 @@
     /// may be offered in an interval, those below critical wait for as many intervals as it takes.
     fn delay(&mut self, id: &JobId, now: Micros) {
         let jitter = self.rng.u64(0..=self.config.jitter.0);
-        let jobs_per_retry = (self.config.offers_per_round / OFFERS_PER_JOB).max(1);
+        let jobs_per_retry = (self.config.max_offers_per_cycle / OFFERS_PER_JOB).max(1);
         let intervals = 1 + self.job_index.waiting_count() / jobs_per_retry;
         if let Some(job) = self.jobs.get_mut(id)
             && job.waiting() > 0
         {
-            let pause = if job.at_fault {
+            let pause = if job.crash_looping {
                 job.pause()
             } else if job.spec.priority == Priority::Critical {
                 self.config.retry
@@ -219,7 +230,13 @@
     }
 
     /// Offers a gang: all its tasks are placed or none. One that lost a member is stopped, and starts whole again.
-    fn offer_whole(&mut self, id: &JobId, machines: &mut Candidates, order: &Order, now: Micros) {
+    fn offer_whole(
+        &mut self,
+        id: &JobId,
+        machines: &mut Candidates,
+        order: &SearchOrder,
+        now: Micros,
+    ) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -237,7 +254,7 @@
             return;
         }
         for part in parts {
-            if self.offer_whole_to(id, machines, &Order::Some(part), now) {
+            if self.offer_whole_to(id, machines, &SearchOrder::Some(part), now) {
                 return;
             }
         }
@@ -248,7 +265,7 @@
         &mut self,
         id: &JobId,
         machines: &mut Candidates,
-        order: &Order,
+        order: &SearchOrder,
         now: Micros,
     ) -> bool {
         self.offer(id, machines, order, Pass::default(), now);
@@ -277,18 +294,18 @@
         for (number, chunk) in &mut job.chunks {
             for (i, p) in &mut chunk.live {
                 p.stopping.get_or_insert(why);
-                let index = number * CHUNK + u32::from(*i);
+                let index = number * CHUNK_SIZE + u32::from(*i);
                 let job = id.clone();
                 self.job_index.note_stopping(TaskId { job, index });
             }
         }
     }
 
-    /// The machines of an order, zone by zone.
-    fn order_by_zone(&self, machines: &Candidates, order: &Order) -> Vec<Vec<usize>> {
+    /// The machines of a command, zone by zone.
+    fn order_by_zone(&self, machines: &Candidates, order: &SearchOrder) -> Vec<Vec<usize>> {
         let all: Vec<usize> = match order {
-            Order::Some(some) => some.clone(),
-            Order::All | Order::WithImage { .. } => (0..machines.len()).collect(),
+            SearchOrder::Some(some) => some.clone(),
+            SearchOrder::All | SearchOrder::WithImage { .. } => (0..machines.len()).collect(),
         };
         let mut by_zone: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
         for i in all {
@@ -318,10 +335,10 @@
     pub(super) fn sort_by_turn(&self, jobs: &mut [&Job]) {
         jobs.sort_by_cached_key(|j| {
             let waits = j.spec.priority < Priority::Critical;
-            let borrows = !self.guarantees.covers(j);
+            let exceeds_guarantee = !self.guarantees.covers(j);
             let priority = Reverse(j.spec.priority);
             let turn = j.turn(self.unix_time);
-            (waits, borrows, priority, turn, j.spec.id.clone())
+            (waits, exceeds_guarantee, priority, turn, j.spec.id.clone())
         });
     }
 
@@ -338,17 +355,17 @@
         self.count_steps(self.machines.len());
         let needs = due.iter().filter_map(|id| self.jobs.get(id));
         let needs = needs.map(|job| job.spec.need());
-        let smallest = needs.reduce(|a, b| a.least(&b)).unwrap_or_default();
+        let smallest = needs.reduce(|a, b| a.min(&b)).unwrap_or_default();
         Candidates::new(&self.machines, &smallest)
     }
 
-    /// How many machines each job may be offered to within the round's allowance.
+    /// How many machines each job may be offered to within the scheduling cycle's allowance.
     fn sample_size(&self, jobs: usize, machines: usize) -> usize {
-        let fair = self.config.offers_per_round / jobs.max(1);
+        let fair = self.config.max_offers_per_cycle / jobs.max(1);
         if fair >= machines {
             machines
         } else {
-            fair.max(LEAST_SAMPLE)
+            fair.max(MIN_SAMPLE)
         }
     }
 
@@ -358,24 +375,24 @@
         &mut self,
         id: &JobId,
         machines: &mut Candidates,
-        order: &Order,
+        order: &SearchOrder,
         pass: Pass,
         now: Micros,
     ) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.claims.retain(|(_, until)| *until > now);
+        job.reservations.retain(|(_, until)| *until > now);
         let spec = job.spec.clone();
         let need = spec.need();
-        let beside_a_card = self.beside_a_card.get(&spec.priority);
-        let beside_a_card = beside_a_card.copied().unwrap_or_default();
+        let accelerator_headroom = self.accelerator_headroom.get(&spec.priority);
+        let accelerator_headroom = accelerator_headroom.copied().unwrap_or_default();
         let mut budget = job.open() as usize;
         if !spec.is_gang() {
             budget = budget.min(TASKS_PER_JOB.max(self.machines.len()));
         }
         if !pass.with_image {
-            budget = budget.saturating_sub(job.claims.len());
+            budget = budget.saturating_sub(job.reservations.len());
         }
         let ready = pass
             .with_image
@@ -390,12 +407,13 @@
             from = place + 1;
             self.offers_made += 1;
             let machine = machines.get(i).id.clone();
-            if pass.beside_cards && !machines.get(i).uses_cards() || self.is_kept_from(&machine, id)
+            if pass.beside_cards && !machines.get(i).uses_accelerators()
+                || self.is_reserved_for_another(&machine, id)
             {
                 continue;
             }
             while budget > 0
-                && machines.get(i).holds(&need, beside_a_card)
+                && machines.get(i).holds(&need, accelerator_headroom)
                 && self.accepts(id, &machine)
             {
                 let waiting = self.jobs.get(id).and_then(|j| j.next_waiting(next_task));
@@ -417,23 +435,26 @@
         }
     }
 
-    /// Those machines of an order that have a job's image, are fetching it or were cleared for it. What is being moved goes
+    /// Those machines of a command that have a job's image, are fetching it or were cleared for it. What is being moved goes
     /// where its place is.
     fn ready_machines(
         &self,
         id: &JobId,
         machines: &mut Candidates,
-        order: &Order,
+        order: &SearchOrder,
         now: Micros,
-    ) -> Order {
+    ) -> SearchOrder {
         let Some(job) = self.jobs.get(id) else {
-            return Order::Some(Vec::new());
+            return SearchOrder::Some(Vec::new());
         };
-        let cleared = job.claims.iter().filter_map(|(m, _)| machines.position(m));
+        let cleared = job
+            .reservations
+            .iter()
+            .filter_map(|(m, _)| machines.position(m));
         let mut cleared: Vec<usize> = cleared.collect();
         cleared.sort_unstable();
         if job.moving_until > now && !cleared.is_empty() {
-            return Order::Some(cleared);
+            return SearchOrder::Some(cleared);
         }
         machines.look_up_image(&job.spec.image, &self.machines);
         machines.with_image(order, &job.spec.image, cleared)
@@ -454,15 +475,15 @@
             return;
         };
         let spec = job.spec.clone();
-        let attempt = job.next_attempt(index / CHUNK, self.least_attempt);
-        let chunk = job.chunks.entry(index / CHUNK).or_default();
+        let attempt = job.next_attempt(index / CHUNK_SIZE, self.min_attempt);
+        let chunk = job.chunks.entry(index / CHUNK_SIZE).or_default();
         chunk.last_attempt = attempt;
-        let claim = job.claims.iter().position(|(m, _)| m == machine);
-        if let Some(i) = claim.or(job.claims.len().checked_sub(1)) {
-            job.claims.swap_remove(i);
+        let claim = job.reservations.iter().position(|(m, _)| m == machine);
+        if let Some(i) = claim.or(job.reservations.len().checked_sub(1)) {
+            job.reservations.swap_remove(i);
         }
         chunk.live.insert(
-            (index % CHUNK) as u8,
+            (index % CHUNK_SIZE) as u8,
             Placement {
                 machine: machine.clone(),
                 attempt: chunk.last_attempt,
@@ -475,10 +496,10 @@
             },
         );
         self.details.push(format!(
-            "event=placed task={id}/{index} machine={machine} attempt={}",
+            "event=task_placed task={id}/{index} machine={machine} attempt={}",
             chunk.last_attempt
         ));
-        self.note_change(id, index / CHUNK);
+        self.note_change(id, index / CHUNK_SIZE);
         self.hold(id, index, machine, now);
         self.note_image(machine, &spec);
     }
--- a/src/scheduler/preempt.rs
+++ b/src/scheduler/preemption.rs
@@ -5,27 +5,27 @@
 use super::job_spec::{JobSpec, Priority, Shape};
 use super::machine::Machine;
 use super::{Scheduler, spec_of};
-use crate::units::{Micros, Room};
+use crate::units::{Micros, Resources};
 use std::collections::BTreeMap;
 
 /// What a stopped task needs until it runs again elsewhere. An array's task that ran for less is not stopped for an array
 /// of a higher priority: the restart would cost more than it achieved.
-const RESTART: Micros = Micros::secs(45);
-/// Stops ordered for one job in one round; or one for so many machines, where that is more.
-const STOPS_PER_ROUND: usize = 16;
-const MACHINES_PER_STOP: usize = 64;
+const MIN_RUN_TIME: Micros = Micros::secs(45);
+/// Stops ordered for one job in one scheduling cycle; or one for so many machines, where that is more.
+const MAX_PREEMPTIONS_PER_CYCLE: usize = 16;
+const MACHINES_EXAMINED_PER_PREEMPTION: usize = 64;
 
-/// What a round knows of the room that can be made.
-pub(super) struct MakeRoom {
+/// What a scheduling cycle knows of the room that can be made.
+pub(super) struct PreemptionPass {
     /// Room that will be free by machine: what is being stopped there, less what was promised of it.
-    coming: BTreeMap<MachineId, Room>,
+    coming: BTreeMap<MachineId, Resources>,
     /// Machines that hold something that may be stopped for some job; looked up when first needed.
     stoppable: Option<Vec<MachineId>>,
 }
 
-impl MakeRoom {
-    pub(super) fn new(coming: BTreeMap<MachineId, Room>) -> MakeRoom {
-        MakeRoom {
+impl PreemptionPass {
+    pub(super) fn new(coming: BTreeMap<MachineId, Resources>) -> PreemptionPass {
+        PreemptionPass {
             coming,
             stoppable: None,
         }
@@ -34,8 +34,8 @@
 
 impl Scheduler {
     /// Room that will be free by machine: what is being stopped there, less what was promised of it.
-    pub(super) fn coming_room(&mut self, now: Micros) -> BTreeMap<MachineId, Room> {
-        let mut coming: BTreeMap<MachineId, Room> = BTreeMap::new();
+    pub(super) fn coming_room(&mut self, now: Micros) -> BTreeMap<MachineId, Resources> {
+        let mut coming: BTreeMap<MachineId, Resources> = BTreeMap::new();
         for task in self.job_index.stopping() {
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
@@ -45,12 +45,12 @@
                 *coming.entry(p.machine.clone()).or_default() += job.spec.need();
             }
         }
-        for id in self.job_index.claimants() {
+        for id in self.job_index.pending_reservations() {
             let Some(job) = self.jobs.get_mut(id) else {
                 continue;
             };
-            job.claims.retain(|(_, until)| *until > now);
-            for (machine, _) in &job.claims {
+            job.reservations.retain(|(_, until)| *until > now);
+            for (machine, _) in &job.reservations {
                 *coming.entry(machine.clone()).or_default() -= job.spec.need();
             }
         }
@@ -64,20 +64,21 @@
         &mut self,
         id: &JobId,
         with_image: bool,
-        room: &mut MakeRoom,
+        room: &mut PreemptionPass,
         now: Micros,
     ) {
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
-        let open = (job.open() as usize).saturating_sub(job.claims.len());
+        let open = (job.open() as usize).saturating_sub(job.reservations.len());
         if !self.config.wait_within.contains_key(&spec.class) && !self.is_entitled(id) {
             return;
         }
-        let mut planned = spec.need().times(job.claims.len());
+        let mut planned = spec.need().times(job.reservations.len());
         if open > 0 && room.stoppable.is_none() {
             room.stoppable = Some(self.stoppable(&room.coming));
         }
-        let most = STOPS_PER_ROUND.max(self.machines.len() / MACHINES_PER_STOP);
+        let most =
+            MAX_PREEMPTIONS_PER_CYCLE.max(self.machines.len() / MACHINES_EXAMINED_PER_PREEMPTION);
         for _ in 0..open.min(most) {
             planned += spec.need();
             if !self.within_limit(&spec.team, &planned) {
@@ -99,14 +100,14 @@
                 .map(|s| Micros::from_secs_f64(s.save_slack()))
                 .max()
                 .unwrap_or_default();
-            // The stop waits for a report, the exit is told within a second, and then the claim is used.
+            // The stop waits for a heartbeat, the exit is told within a second, and then the claim is used.
             let until = now + self.config.report.scaled(5, 4) + save + Micros::secs(2);
             for task in victims {
                 self.stop_for(&task, id);
             }
             if let Some(job) = self.jobs.get_mut(id) {
-                job.claims.push((machine, until));
-                self.job_index.note_claimant(id);
+                job.reservations.push((machine, until));
+                self.job_index.note_pending_reservation(id);
             }
         }
     }
@@ -122,16 +123,17 @@
         p.stopping = Some(StopReason::Preempted);
         self.job_index.note_stopping(task.clone());
         self.notes.push(format!(
-            "event=preempted task={task} machine={} by={by}",
+            "event=task_preempted task={task} machine={} by={by}",
             p.machine
         ));
     }
 
     /// Machines with tasks that may be stopped for one job or another, or with room coming.
-    fn stoppable(&self, coming: &BTreeMap<MachineId, Room>) -> Vec<MachineId> {
+    fn stoppable(&self, coming: &BTreeMap<MachineId, Resources>) -> Vec<MachineId> {
         self.count_steps(self.machines.len());
         let worth = |(id, m): &(&MachineId, &Machine)| {
-            m.takes_offers() && (m.holds_below(Priority::Critical) || coming.contains_key(*id))
+            m.takes_offers()
+                && (m.has_reserved_below(Priority::Critical) || coming.contains_key(*id))
         };
         let machines = self.machines.iter().filter(worth);
         machines.map(|(id, _)| id.clone()).collect()
@@ -143,14 +145,14 @@
         id: &JobId,
         spec: &JobSpec,
         with_image: bool,
-        room: &MakeRoom,
+        room: &PreemptionPass,
         now: Micros,
     ) -> Option<(MachineId, Vec<TaskId>)> {
         let need = spec.need();
         let coming = &room.coming;
         let mut best: Option<(Micros, MachineId, Vec<TaskId>)> = None;
         for machine in room.stoppable.iter().flatten() {
-            if self.offers_made >= self.config.offers_per_round.saturating_mul(2) {
+            if self.offers_made >= self.config.max_offers_per_cycle.saturating_mul(2) {
                 break;
             }
             self.offers_made += 1;
@@ -232,7 +234,7 @@
         let lent = self.is_entitled(&by.spec.id)
             && job.spec.team != by.spec.team
             && job.spec.priority < Priority::Critical
-            && self.borrows(&job.spec.team)
+            && self.exceeds_guarantee(&job.spec.team)
             && !self.guarantees.covers(job);
         if !(lower || lent) {
             return None;
@@ -240,10 +242,10 @@
         let ran = p.running_since.map_or(Micros::ZERO, |t| now.since(t));
         // An array's task that was stopped and started again is the one that loses least: urgent arrays that come all the
         // time would stop it again and again, and it would never end. A guarantee takes its room at once, unless what
-        // borrows it is over in less time than a restart takes.
+        // borrows it has ended in less time than a restart takes.
         let both_arrays = by.spec.shape == Shape::Array && job.spec.shape == Shape::Array;
-        let is_short = Micros::from_secs_f64(job.spec.expect_s) <= RESTART;
-        if both_arrays && ran < RESTART && (!lent || is_short) {
+        let is_short = Micros::from_secs_f64(job.spec.expect_s) <= MIN_RUN_TIME;
+        if both_arrays && ran < MIN_RUN_TIME && (!lent || is_short) {
             return None;
         }
         let save = Micros::from_secs_f64(job.spec.save_slack());
@@ -270,7 +272,7 @@
         let breaks = [2, 3].into_iter().any(|halves| {
             let due = job.at + Micros::from_secs_f64(due_s).scaled(halves, 2).0;
             let spare = due.saturating_sub(self.unix_time);
-            spare >= left.0 && spare < (left + RESTART).0
+            spare >= left.0 && spare < (left + MIN_RUN_TIME).0
         });
         if breaks { whole } else { Micros::ZERO }
     }
--- a/src/scheduler/boots.rs
+++ b/src/scheduler/provisioning_times.rs
@@ -2,7 +2,7 @@
 
 use super::Scheduler;
 use super::ids::MachineId;
-use super::machine::{Life, Machine};
+use super::machine::{Machine, MachineState};
 use super::machine_type::MachineType;
 use crate::units::Micros;
 use std::collections::{BTreeMap, VecDeque};
@@ -15,7 +15,7 @@
 const LONGEST: u64 = 60;
 /// A machine stops counting as room to come so much before it is given up.
 const REPLACED_BEFORE: u64 = 1;
-/// Where many are late and none of them came up, others are rented in their place after this.
+/// Where many are late and none of them came up, others are provisioned in their place after this.
 const REPLACED: u64 = 24;
 /// So many late machines are no sign of anything.
 const FEW: u64 = 2;
@@ -37,7 +37,7 @@
     }
 
     /// When a machine is stuck, in tenths of the usual boot time.
-    fn stuck_after(&self) -> u64 {
+    fn timeout_tenths(&self) -> u64 {
         if self.is_slow() {
             (self.slowest * 3 / 2).clamp(DOUBTED, LONGEST)
         } else {
@@ -48,14 +48,14 @@
 
 /// What the scheduler remembers of boots.
 #[derive(Debug, Default)]
-pub(super) struct Boots {
+pub(super) struct ProvisioningTimes {
     /// Machines that came up, or were given up: when, where, and after how many tenths of the usual time, if at all.
     seen: VecDeque<(Micros, String, Option<u64>)>,
     zones: BTreeMap<String, Zone>,
 }
 
-impl Boots {
-    /// Whether much of what was rented in the zone of late is late.
+impl ProvisioningTimes {
+    /// Whether much of what was provisioned in the zone of late is late.
     pub(super) fn is_slow(&self, zone: &str) -> bool {
         self.zones.get(zone).is_some_and(Zone::is_slow)
     }
@@ -63,7 +63,7 @@
 
 impl Scheduler {
     /// How long a machine has been booting, in tenths of the usual time.
-    fn boot_tenths(&self, m: &Machine, now: Micros) -> u64 {
+    fn provisioning_tenths(&self, m: &Machine, now: Micros) -> u64 {
         let boot = self
             .machine_types
             .get(&m.machine_type)
@@ -72,27 +72,31 @@
         now.since(m.since).0.saturating_mul(10) / boot
     }
 
-    /// A machine that this leader rented came up, or was given up as stuck.
-    pub(super) fn note_boot(&mut self, machine: &MachineId, up: bool, now: Micros) {
-        let Some(m) = self.machines.get(machine).filter(|m| m.rented_now) else {
+    /// A machine that this leader provisioned came up, or was given up as stuck.
+    pub(super) fn observe_provisioning(&mut self, machine: &MachineId, up: bool, now: Micros) {
+        let Some(m) = self
+            .machines
+            .get(machine)
+            .filter(|m| m.is_provisioned_by_this_term)
+        else {
             return;
         };
-        let took = up.then(|| self.boot_tenths(m, now));
+        let took = up.then(|| self.provisioning_tenths(m, now));
         let seen = (now, m.zone.clone(), took);
-        self.boots.seen.push_back(seen);
+        self.provisioning_times.seen.push_back(seen);
     }
 
     /// Looks anew at how machines come up, zone by zone.
     ///
     /// Guards against giving up, and renting again, every new machine of a time in which all take several times as long:
     /// none of them would ever come up.
-    pub(super) fn look_at_boots(&mut self, now: Micros) {
+    pub(super) fn update_provisioning_times(&mut self, now: Micros) {
         let old = |(at, _, _): &(Micros, String, Option<u64>)| now.since(*at) > TELLS_FOR;
-        while self.boots.seen.front().is_some_and(old) {
-            self.boots.seen.pop_front();
+        while self.provisioning_times.seen.front().is_some_and(old) {
+            self.provisioning_times.seen.pop_front();
         }
         let mut zones: BTreeMap<String, Zone> = BTreeMap::new();
-        for (_, name, took) in &self.boots.seen {
+        for (_, name, took) in &self.provisioning_times.seen {
             let zone = zones.entry(name.clone()).or_default();
             match took {
                 Some(tenths) if *tenths <= USUAL => zone.on_time += 1,
@@ -109,11 +113,11 @@
             }
         }
         for (name, zone) in &zones {
-            if zone.is_slow() != self.boots.is_slow(name) {
+            if zone.is_slow() != self.provisioning_times.is_slow(name) {
                 let event = if zone.is_slow() {
-                    "boots_slow"
+                    "provisioning_slow"
                 } else {
-                    "boots_usual"
+                    "provisioning_normal"
                 };
                 self.notes.push(format!(
                     "event={event} zone={name} late={} on_time={}",
@@ -121,7 +125,7 @@
                 ));
             }
         }
-        self.boots.zones = zones;
+        self.provisioning_times.zones = zones;
     }
 
     /// Whether a machine is past the usual time of a boot, and nothing that was sent in this leader's time came of it. A
@@ -132,27 +136,38 @@
             .get(&m.machine_type)
             .map(MachineType::boot);
         let quiet = boot.unwrap_or(Micros::secs(60)).scaled(1, 2);
-        m.life == Life::Booting
+        m.state == MachineState::Provisioning
             && m.held.is_empty()
             && now.since(m.last_contact) > quiet
-            && self.boot_tenths(m, now) > USUAL
+            && self.provisioning_tenths(m, now) > USUAL
     }
 
     /// Whether a machine will not come up any more, as far as its zone's others tell.
-    pub(super) fn is_stuck_in_boot(&self, m: &Machine, now: Micros) -> bool {
-        let zone = self.boots.zones.get(&m.zone).copied().unwrap_or_default();
+    pub(super) fn is_provisioning_timed_out(&self, m: &Machine, now: Micros) -> bool {
+        let zone = self
+            .provisioning_times
+            .zones
+            .get(&m.zone)
+            .copied()
+            .unwrap_or_default();
         let reported = m.newest.is_some();
-        self.is_late(m, now) && (reported || self.boot_tenths(m, now) > zone.stuck_after())
+        self.is_late(m, now)
+            && (reported || self.provisioning_tenths(m, now) > zone.timeout_tenths())
     }
 
     /// Whether a machine that boots counts as room to come.
-    pub(super) fn comes_soon(&self, m: &Machine, now: Micros) -> bool {
-        let zone = self.boots.zones.get(&m.zone).copied().unwrap_or_default();
+    pub(super) fn is_provisioned_soon(&self, m: &Machine, now: Micros) -> bool {
+        let zone = self
+            .provisioning_times
+            .zones
+            .get(&m.zone)
+            .copied()
+            .unwrap_or_default();
         let limit = if zone.is_slow() && zone.slowest == 0 {
             REPLACED
         } else {
-            zone.stuck_after() - REPLACED_BEFORE
+            zone.timeout_tenths() - REPLACED_BEFORE
         };
-        self.boot_tenths(m, now) < limit
+        self.provisioning_tenths(m, now) < limit
     }
 }
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -2,62 +2,71 @@
 
 use super::ids::JobId;
 use super::job::Job;
-use super::{Scheduler, TeamShare};
-use crate::units::Room;
+use super::{Scheduler, TeamQuota};
+use crate::units::Resources;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-impl TeamShare {
+impl TeamQuota {
     /// From the settings, where 0 means none.
-    pub fn new(cpus: f64, cpus_max: f64, gpus: f64, gpus_max: f64) -> TeamShare {
-        let room = |cores, cards| Room::new(cores, cards, 0.0);
+    pub fn new(cpus: f64, cpus_max: f64, gpus: f64, gpus_max: f64) -> TeamQuota {
+        let room = |cores, cards| Resources::new(cores, cards, 0.0);
         let (low, high) = (room(cpus, gpus), room(cpus_max, gpus_max));
         let some = |v: i64| (v > 0).then_some(v);
-        TeamShare {
-            guaranteed: [some(low.cores), some(low.cards)],
-            most: [some(high.cores), some(high.cards)],
+        TeamQuota {
+            guarantee: [some(low.cores), some(low.accelerators)],
+            limit: [some(high.cores), some(high.accelerators)],
         }
     }
 
     /// Whether so much is allowed.
-    pub fn allows(&self, used: &Room) -> bool {
-        fits(self.most, used)
+    pub fn allows(&self, used: &Resources) -> bool {
+        fits(self.limit, used)
     }
 
     /// Whether anything is guaranteed, and so much fits into it.
-    pub fn guarantees(&self, used: &Room) -> bool {
-        self.guaranteed.iter().any(Option::is_some) && fits(self.guaranteed, used)
+    pub fn guarantees(&self, used: &Resources) -> bool {
+        self.guarantee.iter().any(Option::is_some) && fits(self.guarantee, used)
     }
 }
 
-fn fits(bounds: [Option<i64>; 2], used: &Room) -> bool {
-    bounds[0].is_none_or(|b| used.cores <= b) && bounds[1].is_none_or(|b| used.cards <= b)
+fn fits(bounds: [Option<i64>; 2], used: &Resources) -> bool {
+    bounds[0].is_none_or(|b| used.cores <= b) && bounds[1].is_none_or(|b| used.accelerators <= b)
 }
 
 impl Scheduler {
     /// Whether the team may use so much more. Everything that may still be on a machine counts, stopped or not.
-    pub(super) fn within_limit(&self, team: &str, more: &Room) -> bool {
+    pub(super) fn within_limit(&self, team: &str, more: &Resources) -> bool {
         let used = self.team_used.get(team).copied().unwrap_or_default() + *more;
         self.teams.get(team).is_none_or(|t| t.allows(&used))
     }
 
     /// Whether the team uses more than it is guaranteed.
-    pub(super) fn borrows(&self, team: &str) -> bool {
+    pub(super) fn exceeds_guarantee(&self, team: &str) -> bool {
         let used = self.team_used.get(team).copied().unwrap_or_default();
         self.teams.get(team).is_some_and(|t| !t.guarantees(&used))
     }
 
     /// How many more tasks of this size the team may use beside `planned`.
-    pub(super) fn tasks_within_limit(&self, team: &str, planned: &Room, need: &Room) -> usize {
+    pub(super) fn tasks_within_limit(
+        &self,
+        team: &str,
+        planned: &Resources,
+        need: &Resources,
+    ) -> usize {
         let Some(share) = self.teams.get(team) else {
             return usize::MAX;
         };
         let used = self.team_used.get(team).copied().unwrap_or_default() + *planned;
-        let more = |most: Option<i64>, used: i64, need: i64| match most {
+        let more = |limit: Option<i64>, used: i64, need: i64| match limit {
             Some(most) if need > 0 => ((most - used) / need).max(0) as usize,
             Some(most) if used > most => 0,
             _ => usize::MAX,
         };
-        more(share.most[0], used.cores, need.cores).min(more(share.most[1], used.cards, need.cards))
+        more(share.limit[0], used.cores, need.cores).min(more(
+            share.limit[1],
+            used.accelerators,
+            need.accelerators,
+        ))
     }
 
     /// Looks anew at the teams of which a job came, went or got smaller.
@@ -70,7 +79,7 @@
 /// The jobs that fit into their team's guarantee together with the team's earlier ones.
 #[derive(Debug, Default)]
 pub(super) struct Guarantees {
-    /// Each team's jobs in the order in which they came.
+    /// Each team's jobs in the command in which they came.
     by_age: BTreeMap<String, BTreeSet<(u64, JobId)>>,
     within: BTreeMap<String, HashSet<JobId>>,
     /// Teams to be looked at anew.
@@ -109,7 +118,7 @@
     /// Brings the teams that changed up to date; how many jobs were looked at.
     fn refresh(
         &mut self,
-        teams: &BTreeMap<String, TeamShare>,
+        teams: &BTreeMap<String, TeamQuota>,
         jobs: &BTreeMap<JobId, Job>,
     ) -> usize {
         let mut steps = 0;
@@ -119,7 +128,7 @@
             let Some(share) = teams.get(&team) else {
                 continue;
             };
-            let mut sum = Room::default();
+            let mut sum = Resources::default();
             for (_, id) in self.by_age.get(&team).into_iter().flatten() {
                 steps += 1;
                 let Some(job) = jobs.get(id).filter(|j| !j.ending) else {
--- a/src/scheduler/rebuild.rs
+++ b/src/scheduler/rebuild.rs
@@ -3,20 +3,20 @@
 
 use super::Scheduler;
 use super::ids::TaskId;
-use super::machine::Life;
-use super::records::CHUNK;
+use super::machine::MachineState;
+use super::records::CHUNK_SIZE;
 use crate::units::Micros;
 
 /// Attempts after a loss begin so far above those before it: records may lack the last ones, and a worker takes an attempt
 /// that it had before for a repetition.
 const ATTEMPTS_PER_LOSS: u64 = 1 << 32;
 /// How often it is told how many machines are waited for.
-const TELL_EVERY: Micros = Micros::secs(10);
+const LOG_INTERVAL: Micros = Micros::secs(10);
 
 /// A rebuild that waits for machines.
 #[derive(Debug)]
 pub(super) struct Rebuild {
-    /// The list of machines was asked for so late that it has every machine that was rented before the loss.
+    /// The list of machines was asked for so late that it has every machine that was provisioned before the loss.
     listed: bool,
     told_at: Micros,
 }
@@ -33,7 +33,7 @@
 
     /// Attempts are above all that were given out before the last loss.
     pub fn raise_attempts(&mut self, losses: u64) {
-        self.least_attempt = losses * ATTEMPTS_PER_LOSS;
+        self.min_attempt = losses * ATTEMPTS_PER_LOSS;
     }
 
     /// Whether offers wait for machines that may run what no record shows.
@@ -44,7 +44,7 @@
     /// The machine list was read, and was asked for at this time.
     pub(super) fn note_list_of_rebuild(&mut self, asked_at: Micros) {
         let lag = self.config.list_lag.scaled(2, 1) + Micros::secs(1);
-        let is_late = asked_at.since(self.began) > lag;
+        let is_late = asked_at.since(self.started_at) > lag;
         if let Some(rebuild) = &mut self.rebuild {
             rebuild.listed |= is_late;
         }
@@ -55,14 +55,19 @@
         let unheard = self
             .machines
             .values()
-            .filter(|m| matches!(m.life, Life::Booting | Life::Returning))
+            .filter(|m| {
+                matches!(
+                    m.state,
+                    MachineState::Provisioning | MachineState::Terminating
+                )
+            })
             .count();
         let Some(rebuild) = &mut self.rebuild else {
             return false;
         };
         if rebuild.listed && unheard == 0 {
             self.rebuild = None;
-            let took = now.since(self.began);
+            let took = now.since(self.started_at);
             self.notes.push(format!(
                 "event=rebuild_confirmed token={} machines={} after={took}",
                 self.token,
@@ -70,10 +75,10 @@
             ));
             return true;
         }
-        if now.since(rebuild.told_at) >= TELL_EVERY {
+        if now.since(rebuild.told_at) >= LOG_INTERVAL {
             rebuild.told_at = now;
             self.notes.push(format!(
-                "event=rebuild_waits token={} listed={} unheard={unheard}",
+                "event=rebuild_waiting token={} listed={} unheard={unheard}",
                 self.token, rebuild.listed
             ));
         }
@@ -87,7 +92,7 @@
         }
         let job = self.jobs.get_mut(&task.job);
         if let Some(job) = job.filter(|job| task.index < job.spec.tasks) {
-            let chunk = job.chunks.entry(task.index / CHUNK).or_default();
+            let chunk = job.chunks.entry(task.index / CHUNK_SIZE).or_default();
             chunk.last_attempt = chunk.last_attempt.max(attempt);
         }
     }
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -1,13 +1,13 @@
-//! Placements compared with reports, task by task: what each report proves, and what follows from it.
+//! Placements compared with reports, task by task: what each heartbeat proves, and what follows from it.
 
 use super::Scheduler;
 use super::ids::{MachineId, TaskId};
 use super::job::Placement;
-use super::messages::{ExitCause, Report, ReportIndex, ReportedTask, TaskState};
-use super::records::CHUNK;
+use super::messages::{ExitCause, Heartbeat, TaskState, TaskStatus, TaskStatusIndex};
+use super::records::CHUNK_SIZE;
 use crate::units::Micros;
 use ravenhead_recovery::{
-    JobState, RecordedVerdict, ReportContext, Resolution, UnrecordedTask, UnrecordedVerdict,
+    HeartbeatContext, JobState, RecordedVerdict, Resolution, UnrecordedTask, UnrecordedVerdict,
     reconcile_recorded, reconcile_unrecorded,
 };
 use std::collections::BTreeMap;
@@ -19,18 +19,18 @@
     /// Compares the placements on the machine with what it reports.
     pub(super) fn reconcile_placements(
         &mut self,
-        r: &Report,
-        index: &ReportIndex<'_>,
+        r: &Heartbeat,
+        index: &TaskStatusIndex<'_>,
         now: Micros,
     ) -> bool {
         let Some(m) = self.machines.get(&r.machine) else {
             return false;
         };
         let held: Vec<TaskId> = m.held.keys().cloned().collect();
-        let context = ReportContext {
+        let context = HeartbeatContext {
             position: r.position(),
             shows_token: r.token == self.token,
-            answers_arrive: !m.is_doubtful(),
+            answers_arrive: !m.is_suspect(),
         };
         self.count_steps(held.len() + r.tasks.len());
         let mut changed = false;
@@ -48,8 +48,8 @@
     fn reconcile_placement(
         &mut self,
         task: &TaskId,
-        found: Option<&ReportedTask>,
-        context: &ReportContext,
+        found: Option<&TaskStatus>,
+        context: &HeartbeatContext,
         machine: &MachineId,
         now: Micros,
     ) -> bool {
@@ -61,11 +61,11 @@
             return false;
         };
         let recorded = p.as_recorded(is_wanted);
-        let verdict = reconcile_recorded(&recorded, found.map(ReportedTask::outcome), context);
+        let verdict = reconcile_recorded(&recorded, found.map(TaskStatus::outcome), context);
         if let Some(t) = found {
             p.seen = Some(t.state);
             if context.shows_token {
-                // The worker has seen this leader's token, so no order of an earlier leader can follow.
+                // The worker has seen this leader's token, so no command of an earlier leader can follow.
                 p.inherited = false;
                 p.sent = Some(context.position);
             }
@@ -122,7 +122,7 @@
         p.running_since = Some(now);
         self.new_images.insert(machine.clone());
         self.details
-            .push(format!("event=running task={task} machine={machine}"));
+            .push(format!("event=task_running task={task} machine={machine}"));
         self.note_image(machine, &spec);
     }
 
@@ -137,7 +137,7 @@
         if cause == Some(ExitCause::Done) {
             self.finish(&task.job, task.index);
             self.details
-                .push(format!("event=finished task={task} machine={machine}"));
+                .push(format!("event=task_finished task={task} machine={machine}"));
             if let Some(m) = self.machines.get_mut(machine) {
                 m.failed_jobs.clear();
             }
@@ -145,7 +145,7 @@
             return;
         }
         self.details.push(format!(
-            "event=exited task={task} machine={machine} cause={cause:?}"
+            "event=task_exited task={task} machine={machine} cause={cause:?}"
         ));
         self.release(&task.job, task.index);
         self.requeue(&task.job, now);
@@ -156,7 +156,7 @@
                     job.next_try = now + REFUSED_BACKOFF;
                 }
                 self.notes.push(format!(
-                    "event=start_refused task={task} machine={machine} cause={cause:?}"
+                    "event=task_start_refused task={task} machine={machine} cause={cause:?}"
                 ));
             }
             _ => {}
@@ -164,14 +164,14 @@
     }
 
     /// Deals with what is reported but not placed: stale attempts, strangers, tasks that ended before.
-    pub(super) fn reconcile_unplaced(&mut self, r: &Report, now: Micros) -> bool {
+    pub(super) fn reconcile_unplaced(&mut self, r: &Heartbeat, now: Micros) -> bool {
         let mut exited = Vec::new();
         let mut extra = BTreeMap::new();
         let mut changed = false;
         for t in &r.tasks {
             let Some(task) = TaskId::parse(&t.task) else {
                 self.notes.push(format!(
-                    "event=odd_task machine={} task={:?}",
+                    "event=invalid_task machine={} task={:?}",
                     r.machine, t.task
                 ));
                 continue;
@@ -209,16 +209,16 @@
         let Some(m) = self.machines.get_mut(&r.machine) else {
             return changed;
         };
-        for room in m.extra.values() {
+        for room in m.unexpected_tasks.values() {
             m.used -= *room;
         }
         // Nobody knows what a stranger takes: the machine counts as full until it is gone.
         let total = m.total;
-        m.extra = extra
+        m.unexpected_tasks = extra
             .into_iter()
             .map(|(task, need)| (task, need.unwrap_or(total)))
             .collect();
-        for room in m.extra.values() {
+        for room in m.unexpected_tasks.values() {
             m.used += *room;
         }
         m.exited = exited;
@@ -242,14 +242,14 @@
         }
     }
 
-    fn adopt(&mut self, task: &TaskId, r: &Report, t: &ReportedTask, now: Micros) {
+    fn adopt(&mut self, task: &TaskId, r: &Heartbeat, t: &TaskStatus, now: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let chunk = job.chunks.entry(task.index / CHUNK).or_default();
+        let chunk = job.chunks.entry(task.index / CHUNK_SIZE).or_default();
         chunk.last_attempt = chunk.last_attempt.max(t.attempt);
         chunk.live.insert(
-            (task.index % CHUNK) as u8,
+            (task.index % CHUNK_SIZE) as u8,
             Placement {
                 machine: r.machine.clone(),
                 attempt: t.attempt,
@@ -261,7 +261,7 @@
                 stopping: None,
             },
         );
-        self.note_change(&task.job, task.index / CHUNK);
+        self.note_change(&task.job, task.index / CHUNK_SIZE);
         self.hold(&task.job, task.index, &r.machine, now);
         self.notes.push(format!(
             "event=task_adopted task={task} machine={}",
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -6,12 +6,12 @@
 use std::rc::Rc;
 
 /// Tasks of one chunk, the unit in which a job's run is written down.
-pub const CHUNK: u32 = 64;
+pub const CHUNK_SIZE: u32 = 64;
 
 /// How a job ended; decided once for ever.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Final {
+pub enum JobOutcome {
     /// All tasks completed.
     Done,
     /// Its user cancelled it.
@@ -20,9 +20,10 @@
 
 /// The record of a job's end.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct End {
+pub struct JobEnd {
     /// How.
-    pub how: Final,
+    #[serde(rename = "how")]
+    pub outcome: JobOutcome,
     /// When, in microseconds of the time of day.
     pub at: u64,
     /// Tasks completed by then.
--- a/src/scheduler/recovery.rs
+++ b/src/scheduler/recovery.rs
@@ -1,6 +1,6 @@
 //! What a new leader has confirmed of the placements that it found recorded, told to operators in a few lines.
 //!
-//! The comparison itself is part of every report (`reports`) and rests on `ravenhead-recovery`; this module only counts.
+//! The comparison itself is part of every heartbeat (`reports`) and rests on `ravenhead-recovery`; this module only counts.
 
 use super::ids::TaskId;
 use super::{Scheduler, live_tasks};
@@ -29,7 +29,7 @@
         });
         let progress = Progress::begin(recorded, now.0);
         self.notes.push(format!(
-            "event=recovery_began token={} recorded={}",
+            "event=recovery_started token={} recorded={}",
             self.token,
             progress.unconfirmed()
         ));
@@ -53,14 +53,14 @@
         }
     }
 
-    /// Tells how far the recovery is; once it is over, what came of it.
+    /// Tells how far the recovery is; once it has ended, what came of it.
     pub(super) fn tell_recovery(&mut self, now: Micros) {
         let Some(recovery) = &mut self.recovery else {
             return;
         };
         if let Some(summary) = recovery.progress.take_summary(now.0) {
             self.notes.push(format!(
-                "event=recovery_ended token={} recorded={} after={} {}",
+                "event=recovery_completed token={} recorded={} after={} {}",
                 self.token,
                 summary.recorded,
                 Micros(summary.took),
@@ -70,7 +70,7 @@
         } else if now.since(recovery.told_at) >= PROGRESS_EVERY {
             recovery.told_at = now;
             self.notes.push(format!(
-                "event=recovery_goes_on token={} unconfirmed={} {}",
+                "event=recovery_progress token={} unconfirmed={} {}",
                 self.token,
                 recovery.progress.unconfirmed(),
                 in_words(&recovery.progress.counts())
--- a/src/scheduler/reserve.rs
+++ b/src/scheduler/reserve.rs
@@ -65,7 +65,7 @@
 }
 
 impl Scheduler {
-    /// Whether what a job's aims allow it to wait is over before a machine that is rented for it has booted.
+    /// Whether what a job's aims allow it to wait has ended before a machine that is provisioned for it has booted.
     pub(super) fn is_latency_sensitive(&self, spec: &JobSpec) -> bool {
         let Some(boot) = self.machine_types.values().map(MachineType::boot).min() else {
             return false;
--- a/src/scheduler/rental_plan.rs
+++ b/src/scheduler/scale_out.rs
@@ -1,14 +1,14 @@
-//! What to rent for the tasks that neither free nor coming room will hold.
+//! What to provision for the tasks that neither free nor coming room will hold.
 
-use super::fleet::{Pool, RentalRequest};
+use super::fleet::{Pool, ScaleOutRequest};
 use super::job::Job;
 use super::job_spec::{JobSpec, Shape};
-use super::machine::{Life, MOST_TASKS, Machine};
+use super::machine::{MAX_TASKS_PER_MACHINE, Machine, MachineState};
 use super::machine_type::MachineType;
 use super::offers::zone_takes;
 use super::reserve::Reserve;
 use super::{JobId, Scheduler, TaskId};
-use crate::units::{Micros, Room};
+use crate::units::{Micros, Resources};
 use ravenhead_index::FirstFitByKind;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -51,10 +51,10 @@
     }
 }
 
-/// Room that is expected: a machine that boots, is being rented, or is about to be rented.
+/// Room that is expected: a machine that boots, is being provisioned, or is about to be provisioned.
 struct Bin {
     pool: Pool,
-    free: Room,
+    free: Resources,
     /// How many more tasks it may take, whatever their size.
     slots: usize,
     new: bool,
@@ -63,23 +63,23 @@
 }
 
 impl Bin {
-    /// A machine that is being rented, or about to be.
-    fn rented(pool: Pool, room: Room, new: bool) -> Bin {
+    /// A machine that is being provisioned, or about to be.
+    fn rented(pool: Pool, room: Resources, new: bool) -> Bin {
         Bin {
             pool,
             free: room,
-            slots: MOST_TASKS,
+            slots: MAX_TASKS_PER_MACHINE,
             new,
             later: false,
         }
     }
 
     /// How many tasks of this size it takes, of so many.
-    fn takes(&self, need: &Room, wanted: usize) -> usize {
+    fn takes(&self, need: &Resources, wanted: usize) -> usize {
         self.free.count_of(need).min(self.slots).min(wanted)
     }
 
-    fn fill(&mut self, need: &Room, tasks: usize) {
+    fn fill(&mut self, need: &Resources, tasks: usize) {
         self.free -= need.times(tasks);
         self.slots -= tasks;
     }
@@ -93,34 +93,34 @@
             Kind::OrdinarySoon => !self.later && !self.pool.spot,
         };
         if !is_of_kind || self.slots == 0 {
-            return Index::NOTHING;
+            return Index::ABSENT_KEY;
         }
         self.free.amounts()
     }
 }
 
-/// A plan of rentals in the making.
+/// A plan of provisioning requests in the making.
 struct Plan {
     bins: Vec<Bin>,
     index: Index,
     /// The first bin that may take the next task of the job at hand.
     next: usize,
-    /// Machines to be rented by it.
+    /// Machines to be provisioned by it.
     rented: usize,
-    /// Machines by zone, those to be rented included.
+    /// Machines by zone, those to be provisioned included.
     in_zone: BTreeMap<String, usize>,
 }
 
 impl Plan {
     /// The first bin of a kind at or after the place that has so much room.
-    fn first_from(&mut self, from: usize, kind: Kind, need: &Room) -> Option<usize> {
+    fn first_from(&mut self, from: usize, kind: Kind, need: &Resources) -> Option<usize> {
         let bins = &self.bins;
         let need = need.amounts();
         self.index
             .first_from(kind as usize, from, &need, |i| bins[i].amounts(kind))
     }
 
-    fn fill(&mut self, bin: usize, need: &Room, tasks: usize) {
+    fn fill(&mut self, bin: usize, need: &Resources, tasks: usize) {
         self.bins[bin].fill(need, tasks);
         let filled = &self.bins[bin];
         self.index.set(bin, |kind| filled.amounts(Kind::ALL[kind]));
@@ -140,15 +140,15 @@
 }
 
 impl Scheduler {
-    /// What to rent for waiting tasks that neither free nor coming room will hold, and for the reserve.
-    pub(super) fn plan_rentals(
+    /// What to provision for waiting tasks that neither free nor coming room will hold, and for the reserve.
+    pub(super) fn plan_scale_out(
         &mut self,
         reserve: Option<Reserve>,
         now: Micros,
-    ) -> Vec<RentalRequest> {
+    ) -> Vec<ScaleOutRequest> {
         // A new leader first hears what there is.
         let hears_for = self.config.report.scaled(5, 4) + Micros::secs(1);
-        if now.since(self.began) < hears_for && !self.all_have_reported() {
+        if now.since(self.started_at) < hears_for && !self.all_have_reported() {
             return Vec::new();
         }
         let free = reserve.as_ref().map_or(0, |r| self.free_places(&r.like));
@@ -172,7 +172,7 @@
 
     /// Finds room for the waiting tasks of these jobs, in their order.
     fn plan_waiting(&self, waiting: &[JobId], plan: &mut Plan, now: Micros) {
-        let mut planned_use: BTreeMap<String, Room> = BTreeMap::new();
+        let mut planned_use: BTreeMap<String, Resources> = BTreeMap::new();
         let mut left = STEPS_PER_PLAN.max(self.machines.len() * STEPS_PER_MACHINE);
         for id in waiting {
             let Some(job) = self.jobs.get(id) else {
@@ -207,19 +207,19 @@
         }
     }
 
-    /// The machines that a plan adds, pool by pool, as many as may be rented at a time.
-    fn requests(&self, plan: Plan) -> Vec<RentalRequest> {
+    /// The machines that a plan adds, pool by pool, as many as may be provisioned at a time.
+    fn requests(&self, plan: Plan) -> Vec<ScaleOutRequest> {
         let mut requests: BTreeMap<Pool, usize> = BTreeMap::new();
         for bin in plan.bins.into_iter().filter(|b| b.new) {
             *requests.entry(bin.pool).or_default() += 1;
         }
-        let mut allowed = self.config.rent_per_round;
+        let mut allowed = self.config.max_scale_out_per_cycle;
         let mut rent = Vec::new();
         for (pool, count) in requests {
             let count = count.min(allowed);
             allowed -= count;
             if count > 0 {
-                rent.push(RentalRequest { pool, count });
+                rent.push(ScaleOutRequest { pool, count });
             }
         }
         rent
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Places to rent beyond what waits, while much of the classes that can't wait for a boot does: boots differ by
+    /// Places to provision beyond what waits, while much of the classes that can't wait for a boot does: boots differ by
     /// more than double, so that of more machines those needed are up sooner.
     fn ramp_extra(&self) -> usize {
         let (mut waiting, mut running) = (0, 0);
@@ -260,18 +260,18 @@
     fn all_have_reported(&self) -> bool {
         let is_up = |m: &Machine| m.listed_running || !m.held.is_empty();
         let mut machines = self.machines.values();
-        self.fleet.listed && machines.all(|m| m.life != Life::Booting || !is_up(m))
+        self.fleet.listed && machines.all(|m| m.state != MachineState::Provisioning || !is_up(m))
     }
 
-    /// Jobs with waiting tasks in the order in which they are offered, those that back off left out. For one at fault
-    /// nothing is rented as long as there is any machine that it could fail on.
+    /// Jobs with waiting tasks in the command in which they are offered, those that back off left out. For one crash-looping
+    /// nothing is provisioned as long as there is any machine that it could fail on.
     fn waiting_jobs(&self, now: Micros) -> Vec<JobId> {
         let any_up = self.machines.values().any(Machine::takes_offers);
         self.count_steps(self.job_index.waiting_count());
         let mut waiting: Vec<&Job> = self
             .open_jobs()
             .filter(|j| j.open() > 0 && j.next_try <= now + Micros::secs(2))
-            .filter(|j| !(j.at_fault && any_up))
+            .filter(|j| !(j.crash_looping && any_up))
             .collect();
         self.sort_by_turn(&mut waiting);
         waiting.into_iter().map(|j| j.spec.id.clone()).collect()
@@ -286,14 +286,14 @@
                 .machine_types
                 .get(&m.machine_type)
                 .map_or(Micros::secs(60), MachineType::boot);
-            // One that reported, but not yet to have heard this leader, does so with its next report or is not there.
+            // One that reported, but not yet to have heard this leader, does so with its next heartbeat or is not there.
             let reports_soon =
                 m.newest.is_none() || now.since(m.last_contact) < self.config.report.scaled(2, 1);
-            let on_its_way = m.life == Life::Booting
+            let on_its_way = m.state == MachineState::Provisioning
                 && reports_soon
-                && m.total != Room::default()
+                && m.total != Resources::default()
                 && !m.lost
-                && self.comes_soon(m, now);
+                && self.is_provisioned_soon(m, now);
             let mut free = m.free();
             let mut frees = false;
             let mut later = false;
@@ -319,17 +319,17 @@
                         spot: m.spot,
                     },
                     free,
-                    slots: MOST_TASKS.saturating_sub(m.reported_tasks()),
+                    slots: MAX_TASKS_PER_MACHINE.saturating_sub(m.reported_tasks()),
                     new: false,
                     later,
                 });
             }
         }
-        for request in &self.fleet.renting {
+        for request in &self.fleet.in_flight_requests {
             let Some(machine_type) = self.machine_types.get(&request.pool.machine_type) else {
                 continue;
             };
-            let room = machine_type.room();
+            let room = machine_type.resources();
             let rented = || Bin::rented(request.pool.clone(), room, false);
             bins.extend(std::iter::repeat_with(rented).take(request.count));
         }
@@ -376,7 +376,7 @@
         }
     }
 
-    /// Finds coming room for some of these tasks of a job, or adds a machine to rent; none where nothing can be had.
+    /// Finds coming room for some of these tasks of a job, or adds a machine to provision; none where nothing can be had.
     fn plan_tasks(
         &self,
         job: &Job,
@@ -393,8 +393,8 @@
             zone_takes(job, zone, here, None) && !(spec.together && elsewhere > 0)
         };
         // What has a deadline or must start at once does not wait for others to end.
-        // For latency-sensitive work a rented machine comes later than what ends within a part of a boot.
-        let patient = spec.due_s.is_none() && self.has_time_for_boots(spec)
+        // For latency-sensitive work a provisioned machine comes later than what ends within a part of a boot.
+        let patient = spec.due_s.is_none() && self.has_time_for_provisioning(spec)
             || self.is_latency_sensitive(spec);
         let ordinary_only = !spec.spot || job.lost_on_spot;
         let kind = Kind::of(patient, ordinary_only);
@@ -414,7 +414,7 @@
             }
             plan.next = i + 1;
         }
-        if plan.rented >= self.config.rent_per_round {
+        if plan.rented >= self.config.max_scale_out_per_cycle {
             return None;
         }
         let (pool, room) = self.choose_pool(job, plan, now, zone_fits)?;
@@ -429,7 +429,7 @@
     }
 
     /// Whether the start aim of the job's class, if it has one, leaves the time of two boots.
-    fn has_time_for_boots(&self, spec: &JobSpec) -> bool {
+    fn has_time_for_provisioning(&self, spec: &JobSpec) -> bool {
         let boot = self.machine_types.values().map(MachineType::boot).max();
         let within = self.config.wait_within.get(&spec.class);
         within.is_none_or(|w| boot.is_some_and(|b| *w > b.scaled(2, 1)))
@@ -443,11 +443,11 @@
         plan: &Plan,
         now: Micros,
         zone_fits: impl Fn(&str) -> bool,
-    ) -> Option<(Pool, Room)> {
+    ) -> Option<(Pool, Resources)> {
         let need = job.spec.need();
-        let mut best: Option<((bool, f64, usize), Pool, Room)> = None;
+        let mut best: Option<((bool, f64, usize), Pool, Resources)> = None;
         for machine_type in self.machine_types.values() {
-            let room = machine_type.room();
+            let room = machine_type.resources();
             let places = room.count_of(&need).min(1_000);
             if places == 0 {
                 continue;
@@ -470,7 +470,7 @@
                         machine_type.price
                     };
                     let there = plan.in_zone.get(zone).copied().unwrap_or(0);
-                    let doubtful = self.is_dark(zone) || self.boots.is_slow(zone);
+                    let doubtful = self.is_dark(zone) || self.provisioning_times.is_slow(zone);
                     let rank = (doubtful, price / places as f64, there);
                     if best.as_ref().is_none_or(|(r, _, _)| rank < *r) {
                         best = Some((rank, pool, room));
--- a/src/scheduler/scenarios/orders.rs
+++ b/src/scheduler/scenarios/commands.rs
@@ -32,15 +32,15 @@
     let mut t = Scenario::new(0.0);
     t.worker("m-1", "a", false);
     t.submit(spec("j-1", 1));
-    t.s.round(t.now);
+    t.s.run_cycle(t.now);
     let report = t.workers.get_mut("m-1").unwrap().report("m-1");
     t.s.on_report(&report, "n-1", t.now);
     let at = report.position();
-    assert_eq!(runs(&t.s.orders_for(&report.machine, at, t.now)), 0);
+    assert_eq!(runs(&t.s.commands_for(&report.machine, at, t.now)), 0);
     t.commit();
-    assert_eq!(runs(&t.s.orders_for(&report.machine, at, t.now)), 1);
+    assert_eq!(runs(&t.s.commands_for(&report.machine, at, t.now)), 1);
     assert_eq!(
-        runs(&t.s.orders_for(&report.machine, at, t.now)),
+        runs(&t.s.commands_for(&report.machine, at, t.now)),
         0,
         "told once"
     );
@@ -75,10 +75,10 @@
     let report = w.report("m-1");
     t.s.on_report(&report, "n-1", t.now);
     let at = report.position();
-    assert_eq!(t.s.orders_for(&report.machine, at, t.now), vec![]);
+    assert_eq!(t.s.commands_for(&report.machine, at, t.now), vec![]);
     t.commit();
-    let orders = t.s.orders_for(&report.machine, at, t.now);
-    assert!(matches!(orders[..], [Order::Clear { .. }]));
+    let orders = t.s.commands_for(&report.machine, at, t.now);
+    assert!(matches!(orders[..], [AgentCommand::Clear { .. }]));
 }
 
 #[test]
@@ -95,7 +95,7 @@
     assert!(
         orders
             .iter()
-            .all(|o| matches!(o, Order::Stop { slack_s, .. } if *slack_s == 0.0))
+            .all(|o| matches!(o, AgentCommand::Stop { slack_s, .. } if *slack_s == 0.0))
     );
     t.workers.get_mut("m-1").unwrap().execute(&orders, TOKEN);
     t.beat("m-1");
@@ -109,7 +109,7 @@
     let mut t = Scenario::new(0.0);
     t.worker("m-1", "a", false);
     let job = t.submit(spec("j-1", 1));
-    t.s.round(t.now);
+    t.s.run_cycle(t.now);
     let batch = t.s.next_batch(20, 36_000, false);
     assert!(matches!(batch[0], Write::Chunk { places: true, .. }));
     // The commit found the end key taken.
@@ -129,10 +129,10 @@
     t.beat("m-1");
     t.s.end_job(&job, aborted(0));
     let half = Micros::secs(30).0;
-    assert!(t.s.plan_fleet(t.now, half).give_back.is_empty());
+    assert!(t.s.plan_fleet(t.now, half).terminate.is_empty());
     let most = Micros::secs(37).0;
     assert_eq!(
-        t.s.plan_fleet(t.now, most).give_back,
+        t.s.plan_fleet(t.now, most).terminate,
         vec![MachineId("m-1".into())]
     );
 }
@@ -212,13 +212,13 @@
     }
     t.submit(JobSpec {
         cores: 0.1,
-        cards: 0.0,
+        accelerators: 0.0,
         ram_gb: 0.1,
         ..spec("j-1", MAX_TASKS)
     });
     for _ in 0..4 {
         t.wait(1);
-        t.s.round(t.now);
+        t.s.run_cycle(t.now);
         let batch = t.s.next_batch(20, 36_000, false);
         let mut bytes = 0;
         for write in &batch {
@@ -310,7 +310,7 @@
         t.wait(2);
         t.s.on_contact("n-2", &[MachineId("m-1".into())], t.now);
         t.beat("m-2");
-        assert!(t.s.plan_fleet(t.now, 0).give_back.is_empty());
+        assert!(t.s.plan_fleet(t.now, 0).terminate.is_empty());
     }
     t.round();
     t.beat("m-2");
@@ -355,14 +355,14 @@
     ));
 }
 
-// Guards against a machine whose report is longer than a body may be.
+// Guards against a machine whose heartbeat is longer than a body may be.
 #[test]
 fn a_machine_holds_no_more_tasks_than_a_report_can_name() {
     let mut t = Scenario::new(0.0);
     t.worker("m-1", "a", true);
     let tiny = JobSpec {
         cores: 0.01,
-        cards: 0.0,
+        accelerators: 0.0,
         ram_gb: 0.01,
         ..spec("j-1", 1_500)
     };
@@ -371,8 +371,8 @@
         t.wait(1);
         t.beat("m-1");
     }
-    assert_eq!(t.workers["m-1"].running(), MOST_TASKS);
-    let rent = t.s.plan_fleet(t.now, 0).rent;
+    assert_eq!(t.workers["m-1"].running(), MAX_TASKS_PER_MACHINE);
+    let rent = t.s.plan_fleet(t.now, 0).provision;
     let count: usize = rent.iter().map(|w| w.count).sum();
     assert_eq!(count, 3, "for 1,100 more");
     t.workers.get_mut("m-1").unwrap().exit_all(ExitCause::Done);
@@ -382,7 +382,7 @@
     assert!(body.len() < 64 * 1024 / 2, "{}", body.len());
     let held = t.s.machines[&MachineId("m-1".into())].reported_tasks();
     assert!(
-        held <= MOST_TASKS,
+        held <= MAX_TASKS_PER_MACHINE,
         "what is not cleared is reported: {held}"
     );
 }
@@ -402,7 +402,7 @@
     assert_eq!(batch[0].ops(), 3);
     // Before it is written its worker keeps the result; where its user cancelled it first, that is how it ended.
     let at = report.position();
-    assert_eq!(t.s.orders_for(&report.machine, at, t.now), vec![]);
+    assert_eq!(t.s.commands_for(&report.machine, at, t.now), vec![]);
     t.s.batch_dropped(&batch);
     t.s.job_is_over(&job);
     t.s.end_job(&job, aborted(1));
@@ -411,8 +411,8 @@
             .iter()
             .any(|w| matches!(w, Write::Whole { .. } | Write::Done { .. }))
     );
-    let clear = t.s.orders_for(&report.machine, at, t.now);
-    assert!(matches!(&clear[..], [Order::Clear { .. }]));
+    let clear = t.s.commands_for(&report.machine, at, t.now);
+    assert!(matches!(&clear[..], [AgentCommand::Clear { .. }]));
 }
 
 // Guards against a critical task's placement that waits behind a guest's tens of thousands.
@@ -424,13 +424,13 @@
     }
     let tiny = JobSpec {
         cores: 0.25,
-        cards: 0.0,
+        accelerators: 0.0,
         ram_gb: 0.5,
         ..spec("j-1", 2_000)
     };
     t.submit(tiny);
     t.submit(live("j-2"));
-    t.s.round(t.now);
+    t.s.run_cycle(t.now);
     let batch = t.s.next_batch(4, 36_000, true);
     assert_eq!(batch[0].job(), Some(&JobId("j-2".into())));
 }
--- a/src/scheduler/scenarios/failure_detection.rs
+++ b/src/scheduler/scenarios/failure_detection.rs
@@ -14,18 +14,18 @@
     t.beat("m-2");
     assert_eq!(t.workers["m-2"].running(), 0, "silence is no proof");
     let plan = t.s.plan_fleet(t.now, 0);
-    assert_eq!(plan.give_back, vec![MachineId("m-1".into())]);
+    assert_eq!(plan.terminate, vec![MachineId("m-1".into())]);
     t.beat("m-2");
     assert_eq!(
         t.workers["m-2"].running(),
         0,
         "nor is the request to return it"
     );
-    t.s.returned(&plan.give_back, t.now);
+    t.s.on_terminated(&plan.terminate, t.now);
     t.round();
     t.beat("m-2");
     assert_eq!(t.workers["m-2"].running(), 1);
-    // A report that was held up on the way does not bring the machine back.
+    // A heartbeat that was held up on the way does not bring the machine back.
     let orders = t.ask("m-1");
     assert_eq!(orders, vec![]);
 }
@@ -41,8 +41,8 @@
     for i in 0..8 {
         t.beat(&format!("m-a{i}"));
     }
-    assert!(t.s.plan_fleet(t.now, 0).give_back.is_empty());
-    // Another controller hears half of them; of the others the leases are over in the end.
+    assert!(t.s.plan_fleet(t.now, 0).terminate.is_empty());
+    // Another controller hears half of them; of the others the leases have ended in the end.
     t.wait(25);
     let heard: Vec<MachineId> = (0..4).map(|i| MachineId(format!("m-b{i}"))).collect();
     t.s.on_contact("n-2", &heard, t.now);
@@ -51,7 +51,7 @@
     }
     let given: Vec<String> =
         t.s.plan_fleet(t.now, 0)
-            .give_back
+            .terminate
             .into_iter()
             .map(|m| m.0)
             .collect();
@@ -67,7 +67,7 @@
     t.wait(20);
     t.beat("m-a0");
     t.beat("m-a1");
-    assert_eq!(t.s.plan_fleet(t.now, 0).give_back.len(), 6);
+    assert_eq!(t.s.plan_fleet(t.now, 0).terminate.len(), 6);
 }
 
 #[test]
@@ -84,7 +84,7 @@
     t.s.on_list(&[listed("m-1", 5.0), listed("m-2", 100.0)], t.now);
     t.s.on_list(&[], t.now);
     assert_eq!(
-        t.s.plan_fleet(t.now, 0).give_back,
+        t.s.plan_fleet(t.now, 0).terminate,
         vec![MachineId("m-2".into())]
     );
 }
@@ -110,7 +110,7 @@
             t.wait(1);
             t.s.set_controllers(&controllers, t.now);
             t.beat_some(1..8);
-            if !t.s.plan_fleet(t.now, 0).give_back.is_empty() {
+            if !t.s.plan_fleet(t.now, 0).terminate.is_empty() {
                 return second;
             }
         }
@@ -140,14 +140,14 @@
             }
         }
         let plan = t.s.plan_fleet(t.now, 0);
-        given += plan.give_back.len();
-        t.s.returned(&plan.give_back, t.now);
+        given += plan.terminate.len();
+        t.s.on_terminated(&plan.terminate, t.now);
     }
     assert!((1..=3).contains(&given), "{given} given up");
 }
 
-/// Reports that go out, each by another controller as nobody answers, while the orders of their answers are lost.
-fn unheard(t: &mut Scenario, name: &str, nth: usize) -> Vec<Order> {
+/// Reports that go out, each by another controller as nobody answers, while the commands of their answers are lost.
+fn unheard(t: &mut Scenario, name: &str, nth: usize) -> Vec<AgentCommand> {
     t.via = ["n-1", "n-2", "n-3"][nth % 3];
     let orders = t.ask(name);
     t.via = "n-1";
@@ -177,7 +177,7 @@
     t.wait(1);
     t.beat_some(2..9);
     assert_eq!(t.workers["m-2"].running(), 1, "its start was proven lost");
-    // A task that it does run, and that must stop, is lost on deaf ears as well; then the machine is given back.
+    // A task that it does run, and that must stop, is lost on deaf ears as well; then the machine is terminated.
     let stuck = t.submit(spec("j-2", 40));
     t.round();
     t.beat("m-1");
@@ -191,7 +191,7 @@
     );
     t.s.end_job(&stuck, aborted(0));
     let mut waited = 0;
-    while t.s.plan_fleet(t.now, 0).give_back.is_empty() {
+    while t.s.plan_fleet(t.now, 0).terminate.is_empty() {
         t.wait(5);
         waited += 5;
         unheard(&mut t, "m-1", waited);
@@ -201,7 +201,7 @@
             "its reports must not count as signs of life for ever"
         );
     }
-    let gone = t.s.plan_fleet(t.now, 0).give_back;
+    let gone = t.s.plan_fleet(t.now, 0).terminate;
     assert_eq!(gone, [MachineId("m-1".into())]);
     assert!(
         t.workers["m-1"].running() > 0,
@@ -232,13 +232,13 @@
             }
         }
         assert!(
-            t.s.plan_fleet(t.now, 0).give_back.is_empty(),
+            t.s.plan_fleet(t.now, 0).terminate.is_empty(),
             "after {second} s"
         );
     }
 }
 
-// Guards against late copies of reports: of a machine returned, of an earlier state, of an earlier session.
+// Guards against late copies of heartbeats: of a machine returned, of an earlier state, of an earlier agent epoch.
 #[test]
 fn late_copies_of_reports_prove_nothing_bring_nothing_back_and_count_nothing_twice() {
     let mut t = Scenario::new(0.0);
@@ -254,7 +254,7 @@
     t.wait(40);
     assert_eq!(t.deliver(&before_any), vec![]);
     assert_eq!(t.s.jobs[&JobId("j-1".into())].live, 2);
-    // To a new leader that has not heard the machine: no proof, no sign that it is there, no orders to start.
+    // To a new leader that has not heard the machine: no proof, no sign that it is there, no commands to start.
     t.submit(spec("j-2", 2));
     t.take_over(TOKEN + 1);
     assert_eq!(runs(&t.deliver(&before_any)), 0);
@@ -262,7 +262,7 @@
     // A machine that the earlier leader returned is not brought back to take offers.
     let mut lost = Worker {
         zone: "a".into(),
-        session: 1,
+        agent_epoch: 1,
         token: TOKEN,
         ..Worker::default()
     };
@@ -272,7 +272,7 @@
         assert_eq!(runs(&t.deliver(&copy)), 0);
     }
     assert!(t.s.machines[&MachineId("m-0".into())].held.is_empty());
-    // A finish told again, in a copy and from an earlier session, counts once; its clear goes out as ever.
+    // A finish told again, in a copy and from an earlier agent epoch, counts once; its clear goes out as ever.
     t.beat_all();
     t.workers
         .get_mut("m-1")
@@ -289,7 +289,7 @@
     assert!(!t.s.jobs.contains_key(&job) && t.done.len() == 1);
     // From a machine that this leader returned: nothing at all.
     let gone = MachineId("m-1".into());
-    t.s.returned(std::slice::from_ref(&gone), t.now);
+    t.s.on_terminated(std::slice::from_ref(&gone), t.now);
     assert_eq!(t.deliver(&finished), vec![]);
     assert!(!t.s.machines.contains_key(&gone));
 }
@@ -309,19 +309,19 @@
         t.beat(&format!("m-{nth}"));
     };
     (0..10).for_each(|i| beat(&mut t, i));
-    controllers[1].answers = false;
+    controllers[1].is_reachable = false;
     for _ in 0..30 {
         t.wait(3);
         t.s.set_controllers(&controllers, t.now);
         (1..10).for_each(|i| beat(&mut t, i));
-        assert!(t.s.plan_fleet(t.now, 0).give_back.is_empty());
+        assert!(t.s.plan_fleet(t.now, 0).terminate.is_empty());
     }
     // Once the controller answers again, its workers have the time to be heard.
-    controllers[1].answers = true;
+    controllers[1].is_reachable = true;
     t.wait(1);
     t.s.set_controllers(&controllers, t.now);
     assert!(
-        t.s.plan_fleet(t.now, 0).give_back.is_empty(),
+        t.s.plan_fleet(t.now, 0).terminate.is_empty(),
         "the cut has only just ended"
     );
     // One that the cloud says has failed is not waited for.
@@ -339,7 +339,7 @@
     });
     t.s.on_list(&listed.collect::<Vec<_>>(), t.now);
     assert_eq!(
-        t.s.plan_fleet(t.now, 0).give_back,
+        t.s.plan_fleet(t.now, 0).terminate,
         [MachineId("m-0".into())]
     );
 }
@@ -354,7 +354,7 @@
         t.via = ["n-1", "n-2", "n-3", "n-4", "n-5"][i % 5];
         t.worker(&format!("m-{i:02}"), ["a", "b"][i % 2], false);
     }
-    let controllers: Vec<Controller> = ["n-1", "n-2", "n-3", "n-4", "n-5"]
+    let controllers: Vec<ControllerStatus> = ["n-1", "n-2", "n-3", "n-4", "n-5"]
         .iter()
         .map(|n| controller(n, "a", true))
         .collect();
@@ -365,7 +365,7 @@
             t.via = ["n-1", "n-2", "n-3", "n-4", "n-5"][i % 5];
             t.beat(&format!("m-{i:02}"));
         }
-        let given = t.s.plan_fleet(t.now, 0).give_back;
+        let given = t.s.plan_fleet(t.now, 0).terminate;
         assert!(given.is_empty(), "{given:?} after {second} s");
     }
 }
@@ -394,8 +394,8 @@
             t.beat(&format!("m-{i:03}"));
         }
         let plan = t.s.plan_fleet(t.now, 0);
-        given.extend(plan.give_back.iter().map(|m| (m.clone(), second)));
-        t.s.returned(&plan.give_back, t.now);
+        given.extend(plan.terminate.iter().map(|m| (m.clone(), second)));
+        t.s.on_terminated(&plan.terminate, t.now);
     }
     assert_eq!(given, vec![(MachineId("m-010".into()), 35)]);
 }
@@ -417,7 +417,7 @@
         // Every machine reports every sixth second; from the 30th on those of the other zone are not heard.
         let heard = |i: &usize| i / 3 % 6 == second % 6 && (i % 3 != 2 || second < 30);
         t.beat_some((0..60).filter(heard));
-        let given = t.s.plan_fleet(t.now, 0).give_back;
+        let given = t.s.plan_fleet(t.now, 0).terminate;
         if !given.is_empty() {
             first = second;
             break;
@@ -426,7 +426,7 @@
     assert!((30 + 36..30 + 45).contains(&first), "after {first} s");
 }
 
-// Guards against a leader that stood still for longer than a lease and still leads, as after an outage: what it did not
+// Guards against a leader that was paused for longer than a lease and still leads, as after an outage: what it did not
 // hear meanwhile is no silence.
 #[test]
 fn a_leader_that_stood_still_gives_nobody_up_for_it() {
@@ -436,25 +436,25 @@
         t.worker(&format!("m-{i}"), "a", false);
     }
     t.wait(50);
-    t.s.stood_still(Micros::secs(50), t.now);
+    t.s.on_process_pause(Micros::secs(50), t.now);
     for _ in 0..6 {
-        assert_eq!(t.s.plan_fleet(t.now, 0).give_back, vec![]);
+        assert_eq!(t.s.plan_fleet(t.now, 0).terminate, vec![]);
         t.wait(1);
     }
     t.beat_some(1..20);
     t.wait(15);
     t.beat_some(1..20);
-    let given = t.s.plan_fleet(t.now, 0).give_back;
+    let given = t.s.plan_fleet(t.now, 0).terminate;
     assert_eq!(given, vec![MachineId("m-0".into())], "silent since");
-    t.s.returned(&given, t.now);
+    t.s.on_terminated(&given, t.now);
     // One that stops for a second every three still finds the next that dies.
     for second in 0..40 {
         t.wait(1);
         if second % 3 == 0 {
-            t.s.stood_still(Micros::secs(1), t.now);
+            t.s.on_process_pause(Micros::secs(1), t.now);
         }
         t.beat_some(2..20);
-        let given = t.s.plan_fleet(t.now, 0).give_back;
+        let given = t.s.plan_fleet(t.now, 0).terminate;
         if !given.is_empty() {
             assert_eq!(given, vec![MachineId("m-1".into())]);
             return;
@@ -480,7 +480,7 @@
             t.s.set_controllers(&controllers, t.now);
             t.beat_all();
             t.s.plan_fleet(t.now, 0);
-            shed = (0..30).filter(|_| t.s.sheds_worker()).count();
+            shed = (0..30).filter(|_| t.s.takes_redirect()).count();
         }
         shed
     };
@@ -513,7 +513,7 @@
         for i in (0..20).filter(|i| i % 7 != 0 || second < 20) {
             t.beat(&format!("m-{i:02}"));
         }
-        given.extend(t.s.plan_fleet(t.now, 0).give_back);
+        given.extend(t.s.plan_fleet(t.now, 0).terminate);
     }
     assert_eq!(
         given,
@@ -542,7 +542,7 @@
         if second % 3 == 0 {
             t.beat_some(2..10);
         }
-        if !t.s.plan_fleet(t.now, 0).give_back.is_empty() {
+        if !t.s.plan_fleet(t.now, 0).terminate.is_empty() {
             given_up.get_or_insert(second);
         }
     }
--- a/src/scheduler/scenarios/faults.rs
+++ b/src/scheduler/scenarios/faults.rs
@@ -20,7 +20,7 @@
     assert_eq!(t.running(), 2, "both run elsewhere");
     assert!(
         t.s.plan_fleet(t.now, 0)
-            .give_back
+            .terminate
             .contains(&MachineId("m-1".into()))
     );
 }
@@ -47,7 +47,7 @@
     assert!(
         t.s.machines
             .values()
-            .all(|m| m.life == Life::Up && m.failed_jobs.is_empty())
+            .all(|m| m.state == MachineState::Ready && m.failed_jobs.is_empty())
     );
     t.wait(40);
     t.round();
@@ -85,8 +85,8 @@
     failed
 }
 
-// Guards against good machines given back because two broken jobs met on them, against every task of a large broken job
-// being started, and rented for, again and again, and against a broken job that hides a faulty machine.
+// Guards against good machines terminated because two broken jobs met on them, against every task of a large broken job
+// being started, and provisioned for, again and again, and against a broken job that hides a faulty machine.
 #[test]
 fn broken_jobs_and_a_faulty_machine_are_told_apart() {
     let mut t = Scenario::new(0.0);
@@ -97,7 +97,11 @@
         t.submit(spec(id, 40));
     }
     let failed = play_failing(&mut t, &["j-1", "j-2"], &[], 60);
-    assert!(t.s.machines.values().all(|m| m.life == Life::Up));
+    assert!(
+        t.s.machines
+            .values()
+            .all(|m| m.state == MachineState::Ready)
+    );
     assert!(
         failed < 2 * (24 + 10),
         "all places once, then one by one: {failed}"
@@ -110,13 +114,13 @@
     let sick: Vec<&MachineId> =
         t.s.machines
             .iter()
-            .filter(|(_, m)| m.life != Life::Up)
+            .filter(|(_, m)| m.state != MachineState::Ready)
             .map(|(id, _)| id)
             .collect();
     assert_eq!(sick, vec![&MachineId("m-01".into())]);
     assert!((3..=8).all(|i| t.done.contains(&JobId(format!("j-{i}")))));
     assert!(!t.done.contains(&JobId("j-1".into())));
-    let rent = t.s.plan_fleet(t.now, 100_000_000).rent;
+    let rent = t.s.plan_fleet(t.now, 100_000_000).provision;
     assert!(rent.iter().map(|w| w.count).sum::<usize>() <= 1, "{rent:?}");
 }
 
@@ -161,11 +165,15 @@
     t.submit(spec("j-2", 6));
     play_failing(&mut t, &[], &sick, 40);
     for (id, m) in &t.s.machines {
-        assert_eq!(m.life == Life::Up, !sick.contains(&id.0.as_str()), "{id}");
+        assert_eq!(
+            m.state == MachineState::Ready,
+            !sick.contains(&id.0.as_str()),
+            "{id}"
+        );
     }
 }
 
-// Guards against a gang that is taken to be at fault and offered one task at a time, so that it never starts again.
+// Guards against a gang that is taken to be crash-looping and offered one task at a time, so that it never starts again.
 #[test]
 fn a_gang_that_failed_everywhere_starts_whole_again_after_its_pause() {
     let mut t = Scenario::new(0.0);
@@ -174,7 +182,7 @@
     }
     t.submit(JobSpec {
         shape: Shape::Gang,
-        cards: 2.0,
+        accelerators: 2.0,
         ..spec("j-1", 4)
     });
     for _ in 0..3 {
--- a/src/scheduler/scenarios/fleet.rs
+++ b/src/scheduler/scenarios/fleet.rs
@@ -7,22 +7,22 @@
     let mut t = Scenario::new(0.0);
     t.submit(spec("j-1", 4));
     t.round();
-    let rent = t.s.plan_fleet(t.now, 0).rent;
+    let rent = t.s.plan_fleet(t.now, 0).provision;
     let count: usize = rent.iter().map(|w| w.count).sum();
     assert_eq!(count, 2);
     assert!(rent.iter().all(|w| w.pool.spot));
     for request in &rent {
-        t.s.rent_started(request);
+        t.s.on_scale_out_started(request);
     }
     assert_eq!(
-        t.s.plan_fleet(t.now, 0).rent,
+        t.s.plan_fleet(t.now, 0).provision,
         vec![],
         "what is on its way counts"
     );
     for request in &rent {
-        t.s.rent_done(request, &[], t.now);
+        t.s.on_scale_out_completed(request, &[], t.now);
     }
-    for request in t.s.plan_fleet(t.now, 0).rent {
+    for request in t.s.plan_fleet(t.now, 0).provision {
         assert!(rent.iter().all(|w| w.pool != request.pool), "{request:?}");
     }
 }
@@ -35,12 +35,12 @@
         zone: "a".into(),
         spot: true,
     };
-    t.s.inherit_rented(&pool, &[MachineId("m-1".into())], Micros::ZERO, t.now);
+    t.s.inherit_provisioned(&pool, &[MachineId("m-1".into())], Micros::ZERO, t.now);
     t.wait(60);
-    assert!(t.s.plan_fleet(t.now, 0).give_back.is_empty());
+    assert!(t.s.plan_fleet(t.now, 0).terminate.is_empty());
     t.wait(30);
     assert_eq!(
-        t.s.plan_fleet(t.now, 0).give_back,
+        t.s.plan_fleet(t.now, 0).terminate,
         vec![MachineId("m-1".into())]
     );
     t.submit(spec("j-1", 1));
@@ -51,22 +51,22 @@
 }
 
 // Guards against counting the moving task against its own zone, by which only moves to other zones were ever made.
-/// Rents twenty machines, and plays how they come up: each after so many seconds, if at all. Gives what is given back by
-/// then, and how many more were rented, all as wanted for twenty tasks of two a machine.
+/// Provisions twenty machines, and plays how they come up: each after so many seconds, if at all. Gives what is terminated by
+/// then, and how many more were provisioned, all as wanted for twenty tasks of two a machine.
 fn boots(t: &mut Scenario, zone: &str, after: &[Option<u64>], until: u64) -> (usize, usize) {
     let pool = Pool {
         machine_type: "rig".into(),
         zone: zone.into(),
         spot: true,
     };
-    let request = RentalRequest {
+    let request = ScaleOutRequest {
         pool,
         count: after.len(),
     };
     let name = |i: usize| format!("m-{zone}{i:02}");
     let rented: Vec<MachineId> = (0..after.len()).map(|i| MachineId(name(i))).collect();
-    t.s.rent_started(&request);
-    t.s.rent_done(&request, &rented, t.now);
+    t.s.on_scale_out_started(&request);
+    t.s.on_scale_out_completed(&request, &rented, t.now);
     t.submit(spec(&format!("j-{zone}"), 2 * after.len() as u32));
     let (mut given_back, mut more) = (BTreeSet::new(), 0);
     for second in 1..=until {
@@ -78,8 +78,8 @@
         }
         t.beat_all();
         let plan = t.s.plan_fleet(t.now, second * 1_000_000);
-        given_back.extend(plan.give_back);
-        more = more.max(plan.rent.iter().map(|w| w.count).sum());
+        given_back.extend(plan.terminate);
+        more = more.max(plan.provision.iter().map(|w| w.count).sum());
     }
     (given_back.len(), more)
 }
@@ -98,7 +98,7 @@
     let (given_back, _) = boots(&mut t, "a", &[Some(115); 20], 118);
     assert_eq!(given_back, 0, "all may yet come");
     assert_eq!(t.running(), 40);
-    // What is known of the zone by now holds for the next machines there, and others are rented elsewhere.
+    // What is known of the zone by now holds for the next machines there, and others are provisioned elsewhere.
     let (given_back, more) = boots(&mut t, "a", &[Some(140); 10], 135);
     assert_eq!((given_back, more), (0, 0));
     // None comes up: they are replaced, and go back, after a longer while.
@@ -129,7 +129,7 @@
     let mut given = Vec::new();
     for _ in 0..60 {
         t.wait(1);
-        given.extend(t.s.plan_fleet(t.now, u64::MAX).give_back);
+        given.extend(t.s.plan_fleet(t.now, u64::MAX).terminate);
         t.beat("m-1");
         t.wait(1);
         t.beat("m-2");
@@ -150,7 +150,7 @@
     t.round();
     t.beat("m-1");
     t.beat("m-1");
-    t.s.returned(&[MachineId("m-1".into())], t.now);
+    t.s.on_terminated(&[MachineId("m-1".into())], t.now);
     t.workers.remove("m-1");
     t.worker("m-2", "a", true);
     t.worker("m-3", "a", false);
@@ -177,7 +177,7 @@
     t.beat("m-1");
     t.submit(spec("j-2", 2));
     t.round();
-    assert_eq!(t.s.plan_fleet(t.now, 0).rent, vec![]);
+    assert_eq!(t.s.plan_fleet(t.now, 0).provision, vec![]);
     // An aim that leaves time for boots does not make it hurry.
     let aim = |t: &mut Scenario, s: u64| {
         t.s.config
@@ -185,16 +185,16 @@
             .insert("batch".into(), Micros::secs(s))
     };
     aim(&mut t, 150);
-    assert_eq!(t.s.plan_fleet(t.now, 0).rent, vec![]);
+    assert_eq!(t.s.plan_fleet(t.now, 0).provision, vec![]);
     aim(&mut t, 60);
-    assert_eq!(t.s.plan_fleet(t.now, 0).rent.len(), 1);
+    assert_eq!(t.s.plan_fleet(t.now, 0).provision.len(), 1);
     aim(&mut t, 150);
     t.submit(JobSpec {
         due_s: Some(90.0),
         ..spec("j-3", 1)
     });
     t.round();
-    assert_eq!(t.s.plan_fleet(t.now, 0).rent.len(), 1);
+    assert_eq!(t.s.plan_fleet(t.now, 0).provision.len(), 1);
 }
 
 // Guards against consolidation that does not keep pace with a large fleet, and against one that takes many replicas down at
@@ -228,9 +228,9 @@
     for second in 0..90 {
         t.wait(1);
         let plan = t.s.plan_fleet(t.now, u64::MAX);
-        returned += plan.give_back.len();
-        t.s.returned(&plan.give_back, t.now);
-        plan.give_back.iter().for_each(|m| {
+        returned += plan.terminate.len();
+        t.s.on_terminated(&plan.terminate, t.now);
+        plan.terminate.iter().for_each(|m| {
             t.workers.remove(&m.0);
         });
         let names: Vec<String> = t.workers.keys().cloned().collect();
@@ -259,20 +259,20 @@
     let rented = |tasks: u32| {
         let mut t = Scenario::new(0.0);
         t.s.config.reserve = Some(0);
-        t.s.config.rent_per_round = 1_000;
+        t.s.config.max_scale_out_per_cycle = 1_000;
         let big = JobSpec {
             tasks,
             ..live("j-1")
         };
         t.submit(big);
-        let rent = t.s.plan_fleet(t.now, 0).rent;
+        let rent = t.s.plan_fleet(t.now, 0).provision;
         rent.iter().map(|w| w.count).sum::<usize>()
     };
     assert_eq!(rented(8), 4);
     assert_eq!(rented(100), 75);
 }
 
-// Guards against what rented 255 machines in a zone that was cut off: all there had been given up, so that it had the
+// Guards against what provisioned 255 machines in a zone that was cut off: all there had been given up, so that it had the
 // fewest of all zones.
 #[test]
 fn nothing_is_rented_in_a_zone_of_which_nothing_is_heard_while_there_are_others() {
@@ -282,7 +282,7 @@
         t.worker(&format!("m-{i}"), ["a", "b", "b", "b"][i % 4], false);
     }
     let zones_rented = |t: &mut Scenario| {
-        let rent = t.s.plan_fleet(t.now, 0).rent;
+        let rent = t.s.plan_fleet(t.now, 0).provision;
         let zones: BTreeSet<String> = rent.into_iter().map(|w| w.pool.zone).collect();
         zones.into_iter().collect::<Vec<_>>()
     };
--- a/src/scheduler/scenarios/latency_sensitive.rs
+++ b/src/scheduler/scenarios/latency_sensitive.rs
@@ -20,7 +20,7 @@
     let mut t = Scenario::new(0.0);
     t.s.config.guarantee_within = Some(Micros::secs(15));
     for (name, cards) in [("owed", 2.0), ("borrows", 1.0)] {
-        let share = TeamShare::new(0.0, 0.0, cards, 0.0);
+        let share = TeamQuota::new(0.0, 0.0, cards, 0.0);
         t.s.teams.insert(name.into(), share);
     }
     let of = |team: &str, spec: JobSpec| JobSpec {
@@ -42,14 +42,14 @@
     let large = JobSpec {
         priority: Priority::Normal,
         cores: 12.0,
-        cards: 2.0,
+        accelerators: 2.0,
         ram_gb: 96.0,
         ..spec("j-3", 1)
     };
     t.submit(of("owed", large));
     let stops = t.ask("m-1");
     assert_eq!(stops.len(), 2, "{stops:?}");
-    assert!(stops.iter().all(|o| matches!(o, Order::Stop { .. })));
+    assert!(stops.iter().all(|o| matches!(o, AgentCommand::Stop { .. })));
     // One of the two exits first.
     let worker = t.workers.get_mut("m-1").expect("a worker");
     worker.execute(&stops[..1], TOKEN);
@@ -79,7 +79,7 @@
         .insert("fast".into(), Micros::secs(8));
     let whole_machine = JobSpec {
         cores: 16.0,
-        cards: 0.0,
+        accelerators: 0.0,
         ..spec("j-1", 1)
     };
     t.worker("m-1", "a", false);
@@ -90,7 +90,7 @@
     assert_eq!(t.running(), 1);
     t.submit(JobSpec {
         class: "fast".into(),
-        cards: 0.0,
+        accelerators: 0.0,
         ..latency_sensitive("j-2", 1)
     });
     let mut ran = 0;
@@ -104,7 +104,7 @@
         ran += 1;
     };
     assert!(
-        matches!(&stops[..], [Order::Stop { task, .. }] if task == "j-1/0"),
+        matches!(&stops[..], [AgentCommand::Stop { task, .. }] if task == "j-1/0"),
         "{stops:?}"
     );
     assert_eq!(ran, 45);
@@ -118,7 +118,7 @@
         let mut t = Scenario::new(0.0);
         t.s.config.guarantee_within = Some(Micros::secs(10));
         for team in ["owed", "borrows"] {
-            let share = TeamShare::new(0.0, 0.0, 1.0, 0.0);
+            let share = TeamQuota::new(0.0, 0.0, 1.0, 0.0);
             t.s.teams.insert(team.into(), share);
         }
         t.worker("m-1", "a", false);
@@ -156,7 +156,7 @@
     t.beat("m-1");
     for seconds in 0..100 {
         t.beat("m-1");
-        if !t.s.plan_fleet(t.now, 1_000_000).give_back.is_empty() {
+        if !t.s.plan_fleet(t.now, 1_000_000).terminate.is_empty() {
             return seconds;
         }
         t.wait(1);
@@ -164,7 +164,7 @@
     100
 }
 
-// Guards against machines that are given back and rented again all the time where work comes and goes faster than
+// Guards against machines that are terminated and provisioned again all the time where work comes and goes faster than
 // machines boot: each boot is paid for, and comes too late.
 #[test]
 fn machines_are_kept_as_long_as_a_boot_takes_for_work_that_cannot_wait_for_one() {
@@ -196,7 +196,7 @@
     t.worker("m-1", "a", false);
     t.submit(JobSpec {
         cores: 1.0,
-        cards: 0.0,
+        accelerators: 0.0,
         ram_gb: 1.0,
         ..spec("j-1", 3)
     });
@@ -253,7 +253,7 @@
         t.beat("m-1");
     }
     for (machine, removed) in [("m-2", false), ("m-1", true)] {
-        t.s.returned(&[MachineId(machine.into())], t.now);
+        t.s.on_terminated(&[MachineId(machine.into())], t.now);
         let batch = t.s.next_batch(20, 36_000, false);
         let is_removal = matches!(&batch[..], [Write::Images { images: None, .. }]);
         assert_eq!(is_removal, removed, "{machine}: {batch:?}");
--- a/src/scheduler/scenarios/mod.rs
+++ b/src/scheduler/scenarios/mod.rs
@@ -1,15 +1,15 @@
 //! Short scenarios about the scheduler, told against workers and a store that exist only in memory, in virtual time.
 
+mod commands;
 mod failure_detection;
 mod faults;
 mod fleet;
 mod latency_sensitive;
-mod orders;
+mod queue_order;
 mod recovery;
 mod scale;
-mod turns;
 
-use super::machine::MOST_TASKS;
+use super::machine::MAX_TASKS_PER_MACHINE;
 use super::*;
 use crate::cloud::{Listed, ListedStatus};
 
@@ -20,58 +20,58 @@
 struct Worker {
     zone: String,
     spot: bool,
-    session: u64,
-    seq: u64,
+    agent_epoch: u64,
+    sequence: u64,
     token: u64,
     notice_s: Option<f64>,
     tasks: BTreeMap<(String, u64), (TaskState, Option<ExitCause>)>,
 }
 
 impl Worker {
-    fn report(&mut self, name: &str) -> Report {
-        self.seq += 1;
+    fn report(&mut self, name: &str) -> Heartbeat {
+        self.sequence += 1;
         let tasks = self
             .tasks
             .iter()
-            .map(|((task, attempt), (state, cause))| ReportedTask {
+            .map(|((task, attempt), (state, cause))| TaskStatus {
                 task: task.clone(),
                 attempt: *attempt,
                 state: *state,
                 cause: *cause,
             });
-        Report {
+        Heartbeat {
             machine: MachineId(name.into()),
             machine_type: "rig".into(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
+            agent_epoch: self.agent_epoch,
+            sequence: self.sequence,
             token: self.token,
             notice_s: self.notice_s,
             tasks: tasks.collect(),
         }
     }
 
-    fn execute(&mut self, orders: &[Order], token: u64) {
+    fn execute(&mut self, orders: &[AgentCommand], token: u64) {
         if token < self.token {
             return;
         }
         self.token = token;
         for order in orders {
             match order.clone() {
-                Order::Run { task, attempt } => {
+                AgentCommand::Run { task, attempt } => {
                     self.tasks
                         .entry((task, attempt))
                         .or_insert((TaskState::Running, None));
                 }
-                Order::Stop { task, attempt, .. } => {
+                AgentCommand::Stop { task, attempt, .. } => {
                     if let Some(t) = self.tasks.get_mut(&(task, attempt))
                         && t.0 != TaskState::Exited
                     {
                         *t = (TaskState::Exited, Some(ExitCause::Stopped));
                     }
                 }
-                Order::Clear { task, attempt } => {
+                AgentCommand::Clear { task, attempt } => {
                     self.tasks.remove(&(task, attempt));
                 }
             }
@@ -102,7 +102,7 @@
     done: BTreeSet<JobId>,
     images: BTreeMap<MachineId, Vec<CachedImage>>,
     workers: BTreeMap<String, Worker>,
-    /// The controller that passes reports on.
+    /// The controller that passes heartbeats on.
     via: &'static str,
 }
 
@@ -110,7 +110,7 @@
     MachineType {
         name: "rig".into(),
         cores: 16.0,
-        cards: 2.0,
+        accelerators: 2.0,
         ram_gb: 128.0,
         cache_gb: 100.0,
         fetch_gb_per_s: 0.5,
@@ -127,8 +127,8 @@
         jitter: Micros::millis(100),
         idle: None,
         reserve: None,
-        offers_per_round: 20_000,
-        rent_per_round: 24,
+        max_offers_per_cycle: 20_000,
+        max_scale_out_per_cycle: 24,
         recovery_report: true,
         controllers: 3,
         report: Micros::secs(3),
@@ -149,7 +149,7 @@
         priority: Priority::Low,
         tasks,
         cores: 6.0,
-        cards: 1.0,
+        accelerators: 1.0,
         ram_gb: 48.0,
         image: "image".into(),
         image_gb: 1.0,
@@ -179,7 +179,7 @@
 
 impl Scenario {
     fn new(gpus_max: f64) -> Scenario {
-        let teams = BTreeMap::from([("team".into(), TeamShare::new(0.0, 0.0, 0.0, gpus_max))]);
+        let teams = BTreeMap::from([("team".into(), TeamQuota::new(0.0, 0.0, 0.0, gpus_max))]);
         let now = Micros::secs(1_000);
         let mut s = Scheduler::new(config(), teams, TOKEN, 1, now);
         s.set_machine_types(&[machine_type()]);
@@ -229,11 +229,11 @@
         let worker = Worker {
             zone: zone.into(),
             spot,
-            session: 1,
+            agent_epoch: 1,
             ..Worker::default()
         };
         self.workers.insert(name.into(), worker);
-        // The first answer tells it the token, the next report shows it.
+        // The first answer tells it the token, the next heartbeat shows it.
         self.beat(name);
         self.beat(name);
     }
@@ -287,21 +287,21 @@
     }
 
     fn round(&mut self) {
-        self.s.round(self.now);
+        self.s.run_cycle(self.now);
         self.commit();
     }
 
-    /// A report and the orders of its answer, which do not reach the worker yet.
-    fn ask(&mut self, name: &str) -> Vec<Order> {
+    /// A heartbeat and the commands of its answer, which do not reach the worker yet.
+    fn ask(&mut self, name: &str) -> Vec<AgentCommand> {
         let report = self.workers.get_mut(name).expect("a worker").report(name);
         self.deliver(&report)
     }
 
-    fn deliver(&mut self, report: &Report) -> Vec<Order> {
+    fn deliver(&mut self, report: &Heartbeat) -> Vec<AgentCommand> {
         self.s.on_report(report, self.via, self.now);
         self.round();
         let at = report.position();
-        self.s.orders_for(&report.machine, at, self.now)
+        self.s.commands_for(&report.machine, at, self.now)
     }
 
     /// Reports of machines whose names are these numbers, and answers that arrive.
@@ -311,7 +311,7 @@
         }
     }
 
-    /// Reports of all machines but the first few, answered after one round for them all, as by a busy leader.
+    /// Reports of all machines but the first few, answered after one scheduling cycle for them all, as by a busy leader.
     fn beat_together(&mut self, but: usize) {
         let mut reports = Vec::new();
         for (name, worker) in self.workers.iter_mut().skip(but) {
@@ -322,13 +322,13 @@
         self.round();
         for report in reports {
             let at = report.position();
-            let orders = self.s.orders_for(&report.machine, at, self.now);
+            let orders = self.s.commands_for(&report.machine, at, self.now);
             let worker = self.workers.get_mut(&report.machine.0).expect("a worker");
             worker.execute(&orders, self.s.token());
         }
     }
 
-    /// A report whose answer arrives.
+    /// A heartbeat whose answer arrives.
     fn beat(&mut self, name: &str) {
         let orders = self.ask(name);
         let token = self.s.token();
@@ -356,25 +356,25 @@
     }
 }
 
-fn aborted(at: u64) -> End {
-    End {
-        how: Final::Aborted,
+fn aborted(at: u64) -> JobEnd {
+    JobEnd {
+        outcome: JobOutcome::Aborted,
         at,
         done: 0,
     }
 }
 
-fn controller(node: &str, zone: &str, answers: bool) -> Controller {
-    Controller {
+fn controller(node: &str, zone: &str, is_reachable: bool) -> ControllerStatus {
+    ControllerStatus {
         node: node.into(),
         zone: zone.into(),
-        answers,
+        is_reachable,
     }
 }
 
-fn runs(orders: &[Order]) -> usize {
+fn runs(orders: &[AgentCommand]) -> usize {
     orders
         .iter()
-        .filter(|o| matches!(o, Order::Run { .. }))
+        .filter(|o| matches!(o, AgentCommand::Run { .. }))
         .count()
 }
--- a/src/scheduler/scenarios/turns.rs
+++ b/src/scheduler/scenarios/queue_order.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is, preemption, and rounds that stay bounded.
+//! Whose turn it is, preemption, and scheduling cycles that stay bounded.
 
 use super::*;
 
@@ -13,7 +13,7 @@
     t.round();
     let stops = t.ask("m-1");
     assert!(
-        matches!(stops[..], [Order::Stop { slack_s, .. }] if slack_s >= 4.0),
+        matches!(stops[..], [AgentCommand::Stop { slack_s, .. }] if slack_s >= 4.0),
         "it may save"
     );
     t.workers.get_mut("m-1").unwrap().execute(&stops, TOKEN);
@@ -48,7 +48,7 @@
     for i in 0..200 {
         t.worker(&format!("m-{i:06}"), "a", false);
     }
-    t.s.config.offers_per_round = 5_000;
+    t.s.config.max_offers_per_cycle = 5_000;
     for i in 0..2_000 {
         // There is room for them, but no machine of their zone.
         t.submit(JobSpec {
@@ -56,7 +56,7 @@
             ..spec(&format!("j-{i:06}"), 3)
         });
     }
-    t.s.round(t.now);
+    t.s.run_cycle(t.now);
     assert!(t.s.offers_made >= 8 * 2_000);
     // Two passes over at least eight machines for each job: far from the 800,000 of a full search.
     assert!(
@@ -73,7 +73,7 @@
     t.s.config.guarantee_within = Some(Micros::secs(15));
     for name in ["one", "two"] {
         t.s.teams
-            .insert(name.into(), TeamShare::new(0.0, 0.0, 1.0, 0.0));
+            .insert(name.into(), TeamQuota::new(0.0, 0.0, 1.0, 0.0));
     }
     t.worker("m-1", "a", false);
     t.submit(JobSpec {
@@ -93,7 +93,7 @@
     t.round();
     let orders = t.ask("m-1");
     assert!(
-        matches!(&orders[..], [Order::Stop { task, .. }] if task == "j-2/0"),
+        matches!(&orders[..], [AgentCommand::Stop { task, .. }] if task == "j-2/0"),
         "{orders:?}"
     );
 }
@@ -130,7 +130,7 @@
     t.round();
     let stops = t.ask("m-1");
     assert!(
-        matches!(&stops[..], [Order::Stop { task, .. }] if task == "j-2/0"),
+        matches!(&stops[..], [AgentCommand::Stop { task, .. }] if task == "j-2/0"),
         "{stops:?}"
     );
 }
@@ -171,7 +171,7 @@
     assert!(!stopped(80.0), "it would be late");
 }
 
-// Guards against rounds whose work follows the size of the fleet and of the queue, not what changed and what has room.
+// Guards against scheduling cycles whose work follows the size of the fleet and of the queue, not what changed and what has room.
 #[test]
 fn a_round_of_a_large_fleet_is_bounded_and_costs_nothing_where_nothing_has_room() {
     let mut t = Scenario::new(0.0);
@@ -183,8 +183,8 @@
     }
     t.wait(1);
     let before = t.revision;
-    t.s.round(t.now);
-    let most = 2 * t.s.config.offers_per_round;
+    t.s.run_cycle(t.now);
+    let most = 2 * t.s.config.max_offers_per_cycle;
     assert!(t.s.offers_made <= most, "{} offers", t.s.offers_made);
     t.commit();
     // Twenty jobs' placements go into one transaction.
@@ -215,7 +215,7 @@
         .expect("a worker")
         .report(&first.0);
     t.s.on_report(&report, "n-1", t.now);
-    t.s.round(t.now);
+    t.s.run_cycle(t.now);
     assert!(t.s.offers_made <= 2 * 1_600, "{} offers", t.s.offers_made);
     assert_eq!(t.s.machines[&first].held.len(), 2);
     // What is kept for a placed task.
@@ -226,7 +226,7 @@
         .sum();
     assert!(kept <= 4_000 * 40, "{kept} bytes");
     // All controllers restart: the new leader hears two thousand machines on which all runs on, writes only down what
-    // the last one had not, and rents and gives back nothing.
+    // the last one had not, and rents and terminates nothing.
     t.beat_together(0);
     t.take_over(TOKEN + 1);
     t.beat_together(0);
@@ -236,16 +236,16 @@
     assert_eq!(t.revision, before, "nothing changed, nothing is written");
     t.s.on_list(&[], t.now);
     assert_eq!(t.running(), 4_000);
-    assert_eq!(t.s.plan_fleet(t.now, 0).give_back, vec![]);
+    assert_eq!(t.s.plan_fleet(t.now, 0).terminate, vec![]);
     // A tenth of them dies: every one is named, in few lines.
     t.s.take_notes();
     t.wait(1);
     t.beat_together(200);
     t.wait(20);
     t.beat_together(200);
-    assert_eq!(t.s.plan_fleet(t.now, 0).give_back.len(), 200);
+    assert_eq!(t.s.plan_fleet(t.now, 0).terminate.len(), 200);
     let (notes, _) = t.s.take_notes();
-    let vanished = notes.iter().filter(|n| n.contains("machine_vanished"));
+    let vanished = notes.iter().filter(|n| n.contains("machine_lost"));
     let named: usize = vanished.clone().map(|n| n.matches("m-").count()).sum();
     assert_eq!((vanished.count(), named), (8, 200));
 }
@@ -300,7 +300,7 @@
 fn a_large_job_begins_though_small_ones_keep_coming() {
     let small = spec("j-0", 1);
     let large = JobSpec {
-        cards: 2.0,
+        accelerators: 2.0,
         ..spec("j-9999", 1)
     };
     // It needs a whole machine, and machines are never empty.
@@ -411,7 +411,7 @@
 fn spare_time(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         cores: 4.0,
-        cards: 0.0,
+        accelerators: 0.0,
         ram_gb: 20.0,
         expect_s: 300.0,
         ..spec(id, tasks)
--- a/src/scheduler/scenarios/recovery.rs
+++ b/src/scheduler/scenarios/recovery.rs
@@ -96,13 +96,13 @@
     t.beat_all();
     assert_eq!(t.workers["m-2"].running(), 1);
     let gone = MachineId("m-2".into());
-    t.s.returned(std::slice::from_ref(&gone), t.now);
+    t.s.on_terminated(std::slice::from_ref(&gone), t.now);
     t.commit();
     assert!(!t.images.contains_key(&gone));
 }
 
-// Guards against a machine that is back under a new session before the old one was missed: what it lost starts again,
-// what was on its way to the old session is not taken for started, and one such return is no deafness.
+// Guards against a machine that is back under a new agent epoch before the old one was missed: what it lost starts again,
+// what was on its way to the old agent epoch is not taken for started, and one such return is no deafness.
 #[test]
 fn a_machine_back_at_once_under_a_new_session_starts_its_tasks_again() {
     let mut t = Scenario::new(0.0);
@@ -112,7 +112,7 @@
     let lost = t.ask("m-1");
     assert_eq!(runs(&lost), 2);
     let worker = t.workers.get_mut("m-1").expect("a worker");
-    (worker.session, worker.seq) = (2, 0);
+    (worker.agent_epoch, worker.sequence) = (2, 0);
     t.beat("m-1");
     t.wait(1);
     t.beat("m-1");
@@ -120,12 +120,12 @@
     assert_eq!(t.workers["m-1"].running(), 2);
     let worker = t.workers.get_mut("m-1").expect("a worker");
     worker.tasks.clear();
-    (worker.session, worker.seq) = (3, 0);
+    (worker.agent_epoch, worker.sequence) = (3, 0);
     t.beat("m-1");
     t.wait(1);
     t.beat("m-1");
     assert_eq!(t.workers["m-1"].running(), 2);
-    assert!(t.s.plan_fleet(t.now, 0).give_back.is_empty());
+    assert!(t.s.plan_fleet(t.now, 0).terminate.is_empty());
 }
 
 // Guards against a new leader that rents anew what runs already, and against one that waits though it heard all.
@@ -143,20 +143,25 @@
     };
     t.submit(spec("j-1", 8));
     assert_eq!(
-        t.s.plan_fleet(t.now, 0).rent,
+        t.s.plan_fleet(t.now, 0).provision,
         vec![],
         "nothing is known yet"
     );
     t.s.on_list(&[up], t.now);
     assert_eq!(
-        t.s.plan_fleet(t.now, 0).rent,
+        t.s.plan_fleet(t.now, 0).provision,
         vec![],
         "one is up and not heard"
     );
     t.worker("m-1", "a", false);
     t.wait(1);
     t.beat("m-1");
-    let rented: usize = t.s.plan_fleet(t.now, 0).rent.iter().map(|w| w.count).sum();
+    let rented: usize =
+        t.s.plan_fleet(t.now, 0)
+            .provision
+            .iter()
+            .map(|w| w.count)
+            .sum();
     assert_eq!(rented, 3);
 }
 
@@ -173,9 +178,9 @@
         t.take_over(t.s.token() + 1);
         t.s.on_list(&[], t.now);
         let noted = [MachineId("m-1".into())];
-        t.s.inherit_rented(&pool, &noted, Micros::secs(age), t.now);
+        t.s.inherit_provisioned(&pool, &noted, Micros::secs(age), t.now);
         t.wait(6);
-        t.s.plan_fleet(t.now, 0).rent.len()
+        t.s.plan_fleet(t.now, 0).provision.len()
     };
     t.submit(spec("j-1", 2));
     assert_eq!(rents(&mut t, 10), 0, "it boots");
@@ -194,13 +199,13 @@
     };
     let noted: Vec<MachineId> = (0..4).map(|i| MachineId(format!("m-{i}"))).collect();
     t.take_over(t.s.token() + 1);
-    t.s.inherit_rented(&pool, &noted, Micros::secs(69), t.now);
+    t.s.inherit_provisioned(&pool, &noted, Micros::secs(69), t.now);
     t.s.on_list(&[], t.now);
     t.submit(spec("j-1", 2));
     let mut rented = 0;
     for _ in 0..24 {
         t.wait(1);
-        rented += t.s.plan_fleet(t.now, 0).rent.len();
+        rented += t.s.plan_fleet(t.now, 0).provision.len();
     }
     assert!(rented > 0, "nothing comes");
     assert_eq!(t.s.machines.values().filter(|m| !m.lost).count(), 0);
@@ -209,7 +214,10 @@
         notes.iter().any(|n| n.contains("why=lost")),
         "they are dropped: {notes:?}"
     );
-    assert!(!notes.iter().any(|n| n.contains("boots_slow")), "{notes:?}");
+    assert!(
+        !notes.iter().any(|n| n.contains("provisioning_slow")),
+        "{notes:?}"
+    );
 }
 
 // Guards against a job said to be done too early, or run again, because its tasks end under one leader each.
@@ -220,7 +228,7 @@
         t.worker(&format!("m-{i}"), "a", false);
     }
     let large = JobSpec {
-        cards: 2.0,
+        accelerators: 2.0,
         ..spec("j-1", 3)
     };
     let job = t.submit(large);
@@ -251,7 +259,7 @@
         t.worker(name, "a", false);
     }
     t.submit(JobSpec {
-        cards: 2.0,
+        accelerators: 2.0,
         ..spec("j-1", 3)
     });
     t.round();
@@ -265,7 +273,7 @@
         let about = notes.into_iter().filter(|n| n.contains("=recovery_"));
         about.collect::<Vec<String>>().join("\n")
     };
-    assert!(told(&mut t).contains("recovery_began token=8 recorded=3"));
+    assert!(told(&mut t).contains("recovery_started token=8 recorded=3"));
     // One agrees, one has ended; the third says nothing.
     t.beat("m-1");
     let worker = t.workers.get_mut("m-2").expect("a worker");
@@ -274,12 +282,15 @@
     t.wait(10);
     let line = told(&mut t);
     assert!(
-        line.contains("recovery_goes_on token=8 unconfirmed=1 agreed=1 ended=1"),
+        line.contains("recovery_progress token=8 unconfirmed=1 agreed=1 ended=1"),
         "{line}"
     );
-    t.s.returned(&[MachineId("m-3".into())], t.now);
+    t.s.on_terminated(&[MachineId("m-3".into())], t.now);
     let line = told(&mut t);
-    assert!(line.contains("recovery_ended token=8 recorded=3"), "{line}");
+    assert!(
+        line.contains("recovery_completed token=8 recorded=3"),
+        "{line}"
+    );
     assert!(
         line.contains("agreed=1 ended=1 gone=0 machine_returned=1"),
         "{line}"
--- a/src/scheduler/scenarios/scale.rs
+++ b/src/scheduler/scenarios/scale.rs
@@ -23,7 +23,7 @@
     assert!(growth <= most, "{few} and {many} steps: {growth:.1} times");
 }
 
-/// A fleet of empty machines that report.
+/// A fleet of empty machines that heartbeat.
 fn empty_fleet(machines: usize) -> Scenario {
     let mut t = Scenario::new(0.0);
     for i in 0..machines {
@@ -67,9 +67,9 @@
 fn a_round_that_fills_an_empty_fleet_takes_work_in_proportion() {
     assert_growth(LINEAR, |machines| {
         let mut t = empty_fleet(machines);
-        t.s.config.offers_per_round = 10_000_000;
+        t.s.config.max_offers_per_cycle = 10_000_000;
         backlog(&mut t, machines / 2);
-        let steps = steps(&mut t, |t| t.s.round(t.now));
+        let steps = steps(&mut t, |t| t.s.run_cycle(t.now));
         let placed: usize = t.s.machines.values().map(|m| m.held.len()).sum();
         assert_eq!(placed, machines / 2 * 3, "every task has its place");
         steps
@@ -81,14 +81,14 @@
     assert_growth(LINEAR, |machines| {
         let mut t = full_fleet(machines);
         t.wait(30);
-        steps(&mut t, |t| t.s.round(t.now))
+        steps(&mut t, |t| t.s.run_cycle(t.now))
     });
 }
 
 #[test]
 fn a_round_in_which_nothing_is_due_takes_no_work() {
     let mut t = full_fleet(MANY);
-    assert!(steps(&mut t, |t| t.s.round(t.now)) < 10.0);
+    assert!(steps(&mut t, |t| t.s.run_cycle(t.now)) < 10.0);
 }
 
 #[test]
@@ -102,13 +102,13 @@
             .report("m-000007");
         steps(&mut t, |t| {
             t.s.on_report(&report, "n-1", t.now);
-            t.s.orders_for(&report.machine, report.position(), t.now);
+            t.s.commands_for(&report.machine, report.position(), t.now);
             t.s.awaits_write(&report.machine);
         })
     });
 }
 
-// Guards against the first round of a new leader, and the plans after it, taking as long as the square of the fleet.
+// Guards against the first scheduling cycle of a new leader, and the plans after it, taking as long as the square of the fleet.
 #[test]
 fn a_plan_of_the_fleet_takes_work_in_proportion() {
     for full in [true, false] {
@@ -124,12 +124,12 @@
                 };
                 let names = (0..machines).map(|i| MachineId(format!("m-{i:06}")));
                 let names: Vec<MachineId> = names.collect();
-                t.s.inherit_rented(&pool, &names, Micros::ZERO, t.now);
+                t.s.inherit_provisioned(&pool, &names, Micros::ZERO, t.now);
                 t.wait(10);
                 backlog(&mut t, machines / 2);
                 t
             };
-            t.s.config.rent_per_round = 40;
+            t.s.config.max_scale_out_per_cycle = 40;
             steps(&mut t, |t| {
                 t.s.plan_fleet(t.now, 1_000_000_000);
             })
@@ -138,14 +138,14 @@
 }
 
 // Guards against a plan that looks at no more than ten thousand tasks: of a job of small tasks four hundred machines were
-// rented, and no more before these were up.
+// provisioned, and no more before these were up.
 #[test]
 fn a_fleet_for_tens_of_thousands_of_small_tasks_is_rented_without_waiting_for_the_first_boots() {
     let mut t = Scenario::new(0.0);
-    t.s.config.rent_per_round = 500;
+    t.s.config.max_scale_out_per_cycle = 500;
     t.submit(JobSpec {
         cores: 0.5,
-        cards: 0.0,
+        accelerators: 0.0,
         ram_gb: 1.0,
         ..spec("j-1", 100_000)
     });
@@ -153,12 +153,12 @@
     let mut rented = 0;
     for _ in 0..20 {
         let plan = t.s.plan_fleet(t.now, 1_000_000_000);
-        for request in plan.rent {
+        for request in plan.provision {
             let names = (0..request.count).map(|i| MachineId(format!("m-{:06}", rented + i)));
             let names: Vec<MachineId> = names.collect();
             rented += names.len();
-            t.s.rent_started(&request);
-            t.s.rent_done(&request, &names, t.now);
+            t.s.on_scale_out_started(&request);
+            t.s.on_scale_out_completed(&request, &names, t.now);
         }
         t.now = t.now + Micros::millis(500);
     }
@@ -180,7 +180,7 @@
 #[test]
 fn a_backlog_is_offered_less_often_the_longer_it_is_and_all_of_it() {
     let mut t = Scenario::new(0.0);
-    t.s.config.offers_per_round = 1_600;
+    t.s.config.max_offers_per_cycle = 1_600;
     t.worker("m-1", "a", true);
     backlog(&mut t, 1_000);
     t.submit(live("j-live"));
@@ -223,6 +223,6 @@
     assert!(again < 10.0, "{again} steps");
     // Ten seconds later they are written all the same.
     t.wait(11);
-    t.s.round(t.now);
+    t.s.run_cycle(t.now);
     assert_ne!(t.s.next_batch(20, 36_000, true), vec![]);
 }
--- a/src/scheduler/writes.rs
+++ b/src/scheduler/writes.rs
@@ -7,15 +7,15 @@
 use super::job::Job;
 use super::job_spec::Priority;
 use super::machine::CachedImage;
-use super::records::{CHUNK, ChunkRecord};
+use super::records::{CHUNK_SIZE, ChunkRecord};
 use crate::units::Micros;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
 
 /// Most changes of one write, those that remove records aside.
-const MOST_OPS: usize = 3;
+const MAX_OPS_PER_WRITE: usize = 3;
 /// Where writes are short, finishes wait so long for others of their job.
-const FINISHES_WAIT: Micros = Micros::secs(10);
+const MAX_FINISH_DELAY: Micros = Micros::secs(10);
 /// Machines whose images go into one batch.
 const IMAGES_PER_BATCH: usize = 4;
 
@@ -58,7 +58,7 @@
         /// Its images with their sizes.
         images: Option<Vec<CachedImage>>,
     },
-    /// Removal of the records of a job that is over and has no task left.
+    /// Removal of the records of a job that has ended and has no task left.
     Forget {
         /// The job.
         job: JobId,
@@ -183,13 +183,13 @@
         let mut left = ops;
         let mut size = 0;
         let waited_enough = if short {
-            self.latest.since(FINISHES_WAIT)
+            self.latest.since(MAX_FINISH_DELAY)
         } else {
             self.latest
         };
         let ready = self.deferred.take_until(waited_enough);
         self.dirty.extend(ready);
-        while left >= MOST_OPS && size < bytes {
+        while left >= MAX_OPS_PER_WRITE && size < bytes {
             let Some(place) = self.dirty.pop_first() else {
                 break;
             };
@@ -247,7 +247,7 @@
         let waits = !job.ending
             && job.done < job.spec.tasks
             && chunk.live.values().all(|p| p.committed)
-            && self.latest.since(chunk.changed_at) < FINISHES_WAIT;
+            && self.latest.since(chunk.changed_at) < MAX_FINISH_DELAY;
         waits.then_some(chunk.changed_at)
     }
 
@@ -256,7 +256,7 @@
     fn whole_end(&mut self, id: &JobId) -> Option<Write> {
         let job = self.jobs.get_mut(id)?;
         let finished = job.done == job.spec.tasks && job.live == 0;
-        if !finished || job.ending || job.spec.tasks > CHUNK {
+        if !finished || job.ending || job.spec.tasks > CHUNK_SIZE {
             return None;
         }
         let chunk = job.chunks.get_mut(&0).filter(|c| c.dirty)?;
@@ -325,7 +325,7 @@
     /// Removal of what nobody needs any more, when there is nothing else to write.
     fn add_forgets(&mut self, batch: &mut Vec<Write>, ops: usize) {
         let mut left = ops;
-        for id in &self.over {
+        for id in &self.terminal {
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
@@ -400,7 +400,7 @@
         if whole && let Some(job) = self.jobs.remove(id) {
             self.guarantees.remove(&job);
             self.job_index.forget(id);
-            self.over.remove(id);
+            self.terminal.remove(id);
             self.drop_changes(&job);
         }
     }
@@ -417,7 +417,7 @@
     }
 
     /// The end of a job was not written after all.
-    fn goes_on(&mut self, id: &JobId) {
+    fn resume_job(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.ending = job.end.is_some();
             self.guarantees.note_change(&job.spec.team);
@@ -433,10 +433,10 @@
                     self.note_change(job, *chunk);
                 }
                 Write::Whole { job, .. } => {
-                    self.goes_on(job);
+                    self.resume_job(job);
                     self.note_change(job, 0);
                 }
-                Write::Done { job, .. } => self.goes_on(job),
+                Write::Done { job, .. } => self.resume_job(job),
                 Write::Images { machine, .. } => {
                     if let Some(m) = self.machines.get_mut(machine) {
                         m.written_images.clear();
--- a/src/rebuild.rs
+++ b/src/state_loss.rs
@@ -10,10 +10,10 @@
 mod plan;
 
 use crate::clock::sleep;
-use crate::controller::Node;
-use crate::election::Leadership;
+use crate::controller::Controller;
+use crate::election::LeaderLease;
+use crate::kv::{Change, Condition, KvError, Outcome, Urgency};
 use crate::leader::BATCH_BYTES;
-use crate::state::{Change, Condition, Outcome, StateError, Urgency};
 use crate::store::{
     CandidateRecord, LEADER, LOSS, LossRecord, View, candidate_key, end_key, job_key,
 };
@@ -30,7 +30,7 @@
 /// How often a page of the keys is compared with the view.
 const AUDIT_EVERY: Micros = Micros::secs(2);
 /// How long the view may take to have all that a page has.
-const CATCH_UP_WITHIN: Micros = Micros::secs(1);
+const CATCH_UP_TIMEOUT: Micros = Micros::secs(1);
 /// How long controllers may take to tell what they can rebuild from.
 const GATHER_FOR: Micros = Micros::millis(1_500);
 /// How long each waits for those with newer views.
@@ -44,21 +44,21 @@
 /// Pause before a transaction is sent again.
 const RETRY_PAUSE: Micros = Micros::millis(150);
 
-impl Node {
+impl Controller {
     /// Whether answers are held back, as this controller may not know what was told to users: stored state was lost and is
     /// not there again, or it began just now and has not compared what it read with what the others know.
-    pub fn holds_back_answers(&self) -> bool {
+    pub fn withholds_answers(&self) -> bool {
         if !self.settings.rebuilds() {
             return false;
         }
         let lost = self.store.is_rebuilding() || self.state.has_evidence();
-        lost || !self.has_compared() || self.waits_for_others()
+        lost || !self.has_compared_with_peers() || self.awaits_peer_contributions()
     }
 
     /// Whether another controller may know of jobs, or ends that users were told, which the rebuild lacks.
     ///
     /// Guards against an answer older than one that a controller gave which alone still heard of changes before the loss.
-    fn waits_for_others(&self) -> bool {
+    fn awaits_peer_contributions(&self) -> bool {
         let view = self.store.view.borrow();
         let Some(loss) = &view.loss else {
             return false;
@@ -74,24 +74,24 @@
     }
 
     /// Whether the others told what they know since this process began, or did not for a while.
-    fn has_compared(&self) -> bool {
-        let up_for = self.clock.now().since(self.began);
-        up_for >= COMPARE_FOR || self.all_have_spoken()
+    fn has_compared_with_peers(&self) -> bool {
+        let up_for = self.clock.now().since(self.started_at);
+        up_for >= COMPARE_FOR || self.has_heard_all_peers()
     }
 
     /// Whether this controller may stand for election: after a loss those with the newest views go first.
-    pub fn may_stand(&self) -> bool {
+    pub fn is_eligible(&self) -> bool {
         if !self.settings.rebuilds() {
             return true;
         }
-        if !self.has_compared() || self.state.has_evidence() {
+        if !self.has_compared_with_peers() || self.state.has_evidence() {
             return false;
         }
         let loss = self.store.loss.borrow();
         let Some(loss) = &*loss else {
             // Without a view of its own it leaves an unfinished rebuild to those that have one.
-            let unfinished = self.store.view.borrow().is_unfinished();
-            let up_for = self.clock.now().since(self.began);
+            let unfinished = self.store.view.borrow().has_unfinished_rebuild();
+            let up_for = self.clock.now().since(self.started_at);
             return !unfinished || up_for >= WITHOUT_VIEW;
         };
         let waited = self.clock.now().since(loss.found_at);
@@ -124,7 +124,7 @@
         let known = loss.as_ref().and_then(|l| l.snapshot.as_ref());
         let told = view.candidates.values().map(|c| c.token).max();
         let highest = self
-            .known()
+            .cluster_status()
             .token
             .max(known.map_or(0, View::highest_token))
             .max(told.unwrap_or(0));
@@ -159,7 +159,7 @@
 }
 
 /// The duty that looks for losses, and does what a controller that does not lead does after one.
-pub async fn watch_over(node: &Node) {
+pub async fn watch_over(node: &Controller) {
     let mut page = AuditPlace::default();
     let mut audited_at = node.clock.now();
     let mut told_of = 0;
@@ -173,7 +173,7 @@
             contribute(node).await;
             continue;
         }
-        let claim = node.store.view.borrow().claims_loss().cloned();
+        let claim = node.store.view.borrow().peer_claiming_loss().cloned();
         if let Some(by) = claim {
             node.state.report_loss(Evidence::Claimed { by });
             continue;
@@ -189,7 +189,7 @@
 }
 
 /// Tells the others what this controller can rebuild from; whether that was written.
-async fn tell_candidate(node: &Node) -> bool {
+async fn tell_candidate(node: &Controller) -> bool {
     let record = {
         let loss = node.store.loss.borrow();
         let Some(loss) = &*loss else { return true };
@@ -198,7 +198,7 @@
             losses: loss.losses(),
             revision: loss.revision(),
             token: node
-                .known()
+                .cluster_status()
                 .token
                 .max(snapshot.map_or(0, View::highest_token)),
             lost: true,
@@ -207,19 +207,19 @@
     put_candidate(node, &record).await
 }
 
-async fn put_candidate(node: &Node, record: &CandidateRecord) -> bool {
+async fn put_candidate(node: &Controller, record: &CandidateRecord) -> bool {
     let put = Change::put(candidate_key(&node.platform.node), json!(record));
     let told = node.state.txn(Urgency::Now, &[], &[put]).await;
     matches!(told, Ok(Outcome::Applied(_)))
 }
 
 /// Tells the others, after a loss, that this controller knows nothing that the rebuilt state lacks.
-async fn tell_all_is_told(node: &Node) {
+async fn tell_all_is_told(node: &Controller) {
     let record = {
         let view = node.store.view.borrow();
         let own = view.candidates.get(&node.platform.node);
         let told = own.filter(|c| !c.lost).map_or(0, |c| c.losses);
-        if told >= view.losses() || view.is_unfinished() {
+        if told >= view.losses() || view.has_unfinished_rebuild() {
             return;
         }
         CandidateRecord {
@@ -233,7 +233,7 @@
 }
 
 /// Once another controller has rebuilt, adds what only this one knows: jobs that were accepted and ends that were told.
-async fn contribute(node: &Node) {
+async fn contribute(node: &Controller) {
     let changes = {
         let view = node.store.view.borrow();
         let loss = node.store.loss.borrow();
@@ -262,17 +262,17 @@
                     info!("event=loss_contribution job={id}");
                     break;
                 }
-                Ok(Outcome::Conflict(_)) | Err(StateError::Malformed(_)) => break,
+                Ok(Outcome::Conflict(_)) | Err(KvError::Malformed(_)) => break,
                 Err(_) => sleep(RETRY_PAUSE).await,
             }
         }
     }
     *node.store.loss.borrow_mut() = None;
-    info!("event=loss_over");
+    info!("event=loss_resolved");
 }
 
-/// Writes what was lost, as the elected leader; an error says why the term is over. Does nothing where nothing was lost.
-pub async fn restore(node: &Node, leadership: &Leadership) -> Result<(), &'static str> {
+/// Writes what was lost, as the elected leader; an error says why the term has ended. Does nothing where nothing was lost.
+pub async fn restore(node: &Controller, leadership: &LeaderLease) -> Result<(), &'static str> {
     let number = {
         let view = node.store.view.borrow();
         let unfinished = view.loss.as_ref().filter(|l| !l.value.restored);
@@ -306,8 +306,8 @@
 
 /// Marks the last loss as rebuilt, or as confirmed by every machine.
 pub async fn finish(
-    node: &Node,
-    leadership: &Leadership,
+    node: &Controller,
+    leadership: &LeaderLease,
     confirmed: bool,
 ) -> Result<(), &'static str> {
     loop {
@@ -331,8 +331,8 @@
 
 /// Writes keys under the leader key; false where one of them is not as it was read, so that the plan must be made anew.
 async fn write(
-    node: &Node,
-    leadership: &Leadership,
+    node: &Controller,
+    leadership: &LeaderLease,
     keys: &[Restore<Value>],
 ) -> Result<bool, &'static str> {
     let leader = Condition {
@@ -351,8 +351,12 @@
     loop {
         match node.state.txn(Urgency::Paced, &when, &puts).await {
             Ok(Outcome::Applied(revision)) => {
-                node.store.note_answer();
-                if !node.store.caught_up(revision, CATCH_UP_WITHIN).await {
+                node.store.mark_reachable();
+                if !node
+                    .store
+                    .wait_for_revision(revision, CATCH_UP_TIMEOUT)
+                    .await
+                {
                     return Err("the view does not follow");
                 }
                 return Ok(true);
@@ -361,7 +365,7 @@
                 return Err("the leader key is another's");
             }
             Ok(Outcome::Conflict(failed)) => {
-                debug!("event=restore_again keys={failed:?}");
+                debug!("event=restore_conflict keys={failed:?}");
                 node.store.barrier().await;
                 return Ok(false);
             }
