--- a/tests/pinned_frames.rs
+++ b/tests/pinned_frames.rs
@@ -8,10 +8,12 @@
 use async_io::block_on;
 use bitcode::{DecodeOwned, Encode};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use ravenhead::cancellations::{Cancellation, Gone};
+use ravenhead::cancellation::{Cancellation, ResidueCleared};
 use ravenhead::net::{Listener, Stream};
-use ravenhead::peer::{Frame, Knowledge, Peer, Reply, Request, serve};
-use ravenhead::scheduler::{ExitCause, JobId, MachineId, Order, Report, ReportedTask, TaskState};
+use ravenhead::peer::{ClusterStatus, Frame, Peer, PeerReply, PeerRequest, serve};
+use ravenhead::scheduler::{
+    AgentCommand, ExitCause, Heartbeat, JobId, MachineId, TaskState, TaskStatus,
+};
 use ravenhead::units::Micros;
 use std::cell::RefCell;
 use std::fmt::Debug;
@@ -42,12 +44,12 @@
     MachineId(id.into())
 }
 
-fn known() -> Knowledge {
-    Knowledge {
+fn known() -> ClusterStatus {
+    ClusterStatus {
         token: 4_711,
         leader: Some("n-2".into()),
         state_reachable: true,
-        misses_one: false,
+        peer_unreachable: false,
         incarnation: 0x0123_4567_89ab_cdef,
         leads: true,
     }
@@ -61,15 +63,15 @@
     }
 }
 
-fn gone() -> Gone {
-    Gone {
+fn gone() -> ResidueCleared {
+    ResidueCleared {
         job: job("j-7"),
         machine: machine("m-000009"),
     }
 }
 
-fn task(name: &str, attempt: u64, state: TaskState, cause: Option<ExitCause>) -> ReportedTask {
-    ReportedTask {
+fn task(name: &str, attempt: u64, state: TaskState, cause: Option<ExitCause>) -> TaskStatus {
+    TaskStatus {
         task: name.into(),
         attempt,
         state,
@@ -77,15 +79,15 @@
     }
 }
 
-/// A report with tasks in every state and with every cause.
-fn report() -> Report {
-    Report {
+/// A heartbeat with tasks in every state and with every cause.
+fn report() -> Heartbeat {
+    Heartbeat {
         machine: machine("m-000231"),
         machine_type: "g8".into(),
         zone: "z1".into(),
         spot: true,
-        session: 77,
-        seq: 1_234,
+        agent_epoch: 77,
+        sequence: 1_234,
         token: 4_710,
         notice_s: Some(12.5),
         tasks: vec![
@@ -104,23 +106,23 @@
     }
 }
 
-fn run() -> Order {
-    Order::Run {
+fn run() -> AgentCommand {
+    AgentCommand::Run {
         task: "j-1/3".into(),
         attempt: 4,
     }
 }
 
-fn stop() -> Order {
-    Order::Stop {
+fn stop() -> AgentCommand {
+    AgentCommand::Stop {
         task: "j-000412/99999".into(),
         attempt: 1 << 40,
         slack_s: 30.25,
     }
 }
 
-fn clear() -> Order {
-    Order::Clear {
+fn clear() -> AgentCommand {
+    AgentCommand::Clear {
         task: "j-2/0".into(),
         attempt: 1 << 33,
     }
@@ -128,70 +130,70 @@
 
 fn framed<T>(message: T) -> Frame<T> {
     Frame {
-        known: known(),
+        cluster_status: known(),
         message,
     }
 }
 
-fn ping() -> Request {
-    Request::Ping {
+fn ping() -> PeerRequest {
+    PeerRequest::Ping {
         cancelled: vec![cancellation()],
         gone: vec![gone()],
     }
 }
 
-fn answer() -> Reply {
-    Reply::Answer {
+fn answer() -> PeerReply {
+    PeerReply::Answer {
         token: 4_711,
-        orders: vec![run(), stop(), clear()],
+        commands: vec![run(), stop(), clear()],
     }
 }
 
 #[test]
 fn knowledge_keeps_its_bytes_with_each_field_set_alone() {
-    let none = Knowledge::default;
+    let none = ClusterStatus::default;
     assert_bytes(
         "knowledge",
         &[
             ("nothing", none()),
             (
                 "token",
-                Knowledge {
+                ClusterStatus {
                     token: 300,
                     ..none()
                 },
             ),
             (
                 "leader",
-                Knowledge {
+                ClusterStatus {
                     leader: Some("n-0".into()),
                     ..none()
                 },
             ),
             (
                 "state-reachable",
-                Knowledge {
+                ClusterStatus {
                     state_reachable: true,
                     ..none()
                 },
             ),
             (
                 "misses-one",
-                Knowledge {
-                    misses_one: true,
+                ClusterStatus {
+                    peer_unreachable: true,
                     ..none()
                 },
             ),
             (
                 "incarnation",
-                Knowledge {
+                ClusterStatus {
                     incarnation: u64::MAX,
                     ..none()
                 },
             ),
             (
                 "leads",
-                Knowledge {
+                ClusterStatus {
                     leads: true,
                     ..none()
                 },
@@ -257,20 +259,20 @@
 
 #[test]
 fn reports_keep_their_bytes() {
-    let idle = Report {
+    let idle = Heartbeat {
         spot: false,
         notice_s: None,
         tasks: Vec::new(),
         ..report()
     };
-    let first = Report {
-        session: 1,
-        seq: 0,
+    let first = Heartbeat {
+        agent_epoch: 1,
+        sequence: 0,
         token: 0,
         ..idle.clone()
     };
     let many = (0..70).map(|n| task(&format!("j-3/{n}"), 1, TaskState::Running, None));
-    let full = Report {
+    let full = Heartbeat {
         tasks: many.collect(),
         ..report()
     };
@@ -287,11 +289,11 @@
 
 #[test]
 fn frame_of_each_request_variant_keeps_its_bytes() {
-    let nothing = Request::Ping {
+    let nothing = PeerRequest::Ping {
         cancelled: Vec::new(),
         gone: Vec::new(),
     };
-    let several = Request::Ping {
+    let several = PeerRequest::Ping {
         cancelled: vec![
             cancellation(),
             Cancellation {
@@ -301,13 +303,13 @@
         ],
         gone: (0..3).map(|_| gone()).collect(),
     };
-    let passed_on = |relay| Request::Report {
+    let answer_relayed = |relay| PeerRequest::Heartbeat {
         relay,
         via: "n-1".into(),
         report: report(),
     };
     let unknown = Frame {
-        known: Knowledge::default(),
+        cluster_status: ClusterStatus::default(),
         message: nothing.clone(),
     };
     assert_bytes(
@@ -317,25 +319,25 @@
             ("ping-with-nothing-to-tell", framed(nothing)),
             ("ping", framed(ping())),
             ("ping-with-several", framed(several)),
-            ("report", framed(passed_on(false))),
-            ("report-to-be-relayed", framed(passed_on(true))),
+            ("report", framed(answer_relayed(false))),
+            ("report-to-be-relayed", framed(answer_relayed(true))),
         ],
     );
 }
 
 #[test]
 fn frame_of_each_reply_variant_keeps_its_bytes() {
-    let no_orders = Reply::Answer {
+    let no_orders = PeerReply::Answer {
         token: 0,
-        orders: Vec::new(),
+        commands: Vec::new(),
     };
     assert_bytes(
         "reply",
         &[
-            ("pong", framed(Reply::Pong)),
+            ("pong", framed(PeerReply::Pong)),
             ("answer", framed(answer())),
             ("answer-without-orders", framed(no_orders)),
-            ("no-leader", framed(Reply::NoLeader)),
+            ("no-leader", framed(PeerReply::NoLeader)),
         ],
     );
 }
--- a/tests/pinned_records.rs
+++ b/tests/pinned_records.rs
@@ -7,16 +7,16 @@
 
 mod support;
 
-use ravenhead::cloud::Rental;
+use ravenhead::cloud::ProvisioningRequest;
+use ravenhead::kv::{Change, Condition, Event, Page, WatchResponse};
 use ravenhead::scheduler::{
-    CachedImage, ChunkRecord, End, Final, JobId, JobRecord, JobSpec, MachineId, MachineType,
-    Priority, Shape,
+    CachedImage, ChunkRecord, JobEnd, JobId, JobOutcome, JobRecord, JobSpec, MachineId,
+    MachineType, Priority, Shape,
 };
-use ravenhead::state::{Change, Condition, Event, Page, WatchResponse};
 use ravenhead::store::{
     ArchivedEnd, CandidateRecord, LEADER, LOSS, LeaderRecord, LossRecord, MACHINE_TYPES, PREFIX,
-    RentalRecord, TERM, View, ViewChange, archive_key, candidate_key, chunk_key, contacts_key,
-    end_key, images_key, job_key, rental_key,
+    ProvisioningRecord, TERM, View, ViewChange, archive_key, candidate_key, chunk_key,
+    contacts_key, end_key, images_key, job_key, provisioning_key,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -80,7 +80,7 @@
         priority: Priority::Normal,
         tasks: 1,
         cores: 1.0,
-        cards: 0.0,
+        accelerators: 0.0,
         ram_gb: 0.5,
         image: "i".into(),
         image_gb: 1.0,
@@ -106,7 +106,7 @@
         priority: Priority::Critical,
         tasks: 100_000,
         cores: 3.5,
-        cards: 2.0,
+        accelerators: 2.0,
         ram_gb: 1e9,
         image: "registry/i:2".into(),
         image_gb: 12.25,
@@ -144,24 +144,24 @@
     }
 }
 
-fn done() -> End {
-    End {
-        how: Final::Done,
+fn done() -> JobEnd {
+    JobEnd {
+        outcome: JobOutcome::Done,
         at: 1_800_000_000_123_456,
         done: 100_000,
     }
 }
 
-fn aborted() -> End {
-    End {
-        how: Final::Aborted,
+fn aborted() -> JobEnd {
+    JobEnd {
+        outcome: JobOutcome::Aborted,
         at: 0,
         done: 3,
     }
 }
 
-fn rental() -> Rental {
-    Rental {
+fn rental() -> ProvisioningRequest {
+    ProvisioningRequest {
         request_name: "r-7-0".into(),
         machine_type: "g8".into(),
         zone: "z0".into(),
@@ -174,7 +174,7 @@
     MachineType {
         name: "g8".into(),
         cores: 64.0,
-        cards: 8.0,
+        accelerators: 8.0,
         ram_gb: 512.0,
         cache_gb: 200.5,
         fetch_gb_per_s: 0.25,
@@ -223,7 +223,7 @@
     let (view, news) = view(FIXTURE, "end");
     for ((_, id, end), news) in ends.into_iter().zip(news) {
         assert_eq!(view.end(&job(id)), Some(end));
-        assert_eq!(news, Some(ViewChange::End(job(id))));
+        assert_eq!(news, Some(ViewChange::JobEnded(job(id))));
     }
 }
 
@@ -255,13 +255,13 @@
 
 #[test]
 fn rentals_keep_their_keys_and_bytes() {
-    let asked = RentalRecord {
+    let asked = ProvisioningRecord {
         rental: rental(),
         machines: None,
         at: 5,
     };
-    let answered = RentalRecord {
-        rental: Rental {
+    let answered = ProvisioningRecord {
+        rental: ProvisioningRequest {
             request_name: "r-4294967303-12".into(),
             spot: false,
             ..rental()
@@ -270,11 +270,11 @@
         at: 1_800_000_000_123_456,
     };
     let written = [("asked", asked), ("answered", answered)];
-    let written = written.map(|(name, r)| (name, rental_key(&r.rental.request_name), r));
+    let written = written.map(|(name, r)| (name, provisioning_key(&r.rental.request_name), r));
     assert_records("rental", &written);
     let (view, _) = view(FIXTURE, "rental");
     for (_, _, record) in written {
-        assert_eq!(view.rentals[&record.rental.request_name], record);
+        assert_eq!(view.provisioning[&record.rental.request_name], record);
     }
 }
 
@@ -430,12 +430,12 @@
     assert_eq!(view.runs[&job("j-1")][&1].value, finished);
     assert_eq!(view.end(&job("j-4")), Some(done()));
     assert_eq!(view.leader.as_ref().expect("a leader").value, leader());
-    let asked = RentalRecord {
+    let asked = ProvisioningRecord {
         rental: rental(),
         machines: None,
         at: 5,
     };
-    assert_eq!(view.rentals["r-7-0"], asked);
+    assert_eq!(view.provisioning["r-7-0"], asked);
     let types = view.machine_types.as_ref().expect("machine types");
     assert_eq!(types.value, [machine_type()]);
     // The first release told all that a controller hears under one key.
@@ -451,7 +451,7 @@
     let key = change["write"].as_str().expect("a key");
     let mut view = View::default();
     assert!(view.put(key, change["data"].clone(), VERSION).is_err());
-    assert!(view.rentals.is_empty());
+    assert!(view.provisioning.is_empty());
 }
 
 #[test]
@@ -469,7 +469,7 @@
     let item = &page.items[0];
     assert_eq!((item.key.as_str(), item.version), ("r/end/j-1", 12));
     assert_eq!(
-        from_value::<End>(item.value.clone()).expect("an end"),
+        from_value::<JobEnd>(item.value.clone()).expect("an end"),
         done()
     );
     let watched: WatchResponse = from_str(answer("answer/watch ")).expect("changes");
--- a/tests/pinned_wire.rs
+++ b/tests/pinned_wire.rs
@@ -10,9 +10,9 @@
     Block, Message, assert_pinned, blocks, fixture, fixture_path, free_addr, listen, request, send,
     serve,
 };
-use ravenhead::cloud::{Cloud, Rental};
+use ravenhead::cloud::{Cloud, ProvisioningRequest};
+use ravenhead::kv::{Change, Condition, Event, KvClient, Outcome, Urgency};
 use ravenhead::scheduler::MachineId;
-use ravenhead::state::{Change, Condition, Event, Outcome, State, Urgency};
 use ravenhead::units::Micros;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -436,7 +436,7 @@
 }
 
 async fn state_call(addr: SocketAddr, which: &str) -> String {
-    let state = State::new(addr, 1_000.0, 1_000.0, false);
+    let state = KvClient::new(addr, 1_000.0, 1_000.0, false);
     let condition = |key: &str, version| Condition {
         key: key.to_owned(),
         version,
@@ -526,21 +526,21 @@
             machines.join(", ")
         }),
         "rent" => {
-            let rental = Rental {
+            let rental = ProvisioningRequest {
                 request_name: "r-17".to_owned(),
                 machine_type: "g8".to_owned(),
                 zone: "a".to_owned(),
                 spot: true,
                 count: 12,
             };
-            told(cloud.rent(&rental).await, |rented| {
+            told(cloud.provision(&rental).await, |rented| {
                 let names: Vec<String> = rented.iter().map(MachineId::to_string).collect();
                 format!("rented {names:?}")
             })
         }
         "give_back" => {
             let machines = [machine("m-1"), machine("m-2")];
-            told(cloud.give_back(&machines).await, |()| "gone".to_owned())
+            told(cloud.terminate(&machines).await, |()| "gone".to_owned())
         }
         other => panic!("no such call: {other}"),
     }
