--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -90,7 +90,7 @@
     ];
     assert_eq!(left, expected, "one holds it, one was not heard");
     c.forget(LATER * 10, Micros::secs(1));
-    assert!(c.residue_by_machine.is_empty() && !c.knows(&JobId("j-000001".into())));
+    assert!(c.residue_by_machine.is_empty() && !c.contains(&JobId("j-000001".into())));
 }
 
 // Guards against a message that is too long for a frame, and against one that leaves out a cancellation for ever.
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,6 +1,14 @@
-use super::*;
+use super::Controller;
+use crate::config::{Platform, Settings};
+use crate::http::HttpRequest;
+use crate::peer::{Cancellation, ClusterStatus, Frame, PeerRequest};
+use crate::readiness::is_ready;
+use crate::scheduler::JobId;
 use crate::scheduler::MachineId;
+use crate::term::LeaderLease;
+use crate::units::Micros;
 use http_types::Method;
+use std::rc::Rc;
 
 /// The second of five controllers in zones a, b, a, b, c.
 fn node(lease_s: f64) -> Controller {
@@ -28,7 +36,8 @@
 
 fn answer_all(node: &Controller) {
     for i in [0, 2, 3, 4] {
-        node.record_peer_status(&format!("n-{i}"), ClusterStatus::default());
+        node.membership
+            .record_peer_status(&format!("n-{i}"), ClusterStatus::default());
     }
 }
 
@@ -38,37 +47,40 @@
 fn a_controller_that_is_alone_hands_its_workers_on_within_their_lease() {
     let n = node(14.0);
     let m = MachineId("m-1".into());
-    assert!(!n.is_isolated(), "it heard from the state service just now");
+    assert!(
+        !n.membership.is_isolated(),
+        "it heard from the state service just now"
+    );
     n.store.mark_unreachable_for_test();
-    assert!(n.is_isolated() && !n.is_ready());
+    assert!(n.membership.is_isolated() && !is_ready(&n.store, &n.membership));
     assert_eq!(
-        n.redirect_target(&m, "b"),
+        n.contacts.redirect_target(&m, "b"),
         None,
         "its lease may be nearly over: it is answered first"
     );
-    n.record_contact(m.clone());
+    n.contacts.record_contact(m.clone());
     // One silent controller costs five seconds of fourteen: only the one right before this is safe.
-    assert_eq!(n.redirect_target(&m, "b"), Some("n-0".into()));
-    n.record_contact(m.clone());
+    assert_eq!(n.contacts.redirect_target(&m, "b"), Some("n-0".into()));
+    n.contacts.record_contact(m.clone());
     assert_eq!(
-        n.redirect_target(&m, "b"),
+        n.contacts.redirect_target(&m, "b"),
         None,
         "back again, it is left in peace"
     );
     answer_all(&n);
-    assert!(!n.is_isolated());
+    assert!(!n.membership.is_isolated());
     // A longer lease bears more tries, a lease that bears none is not risked.
     let far = node(36.0);
     far.store.mark_unreachable_for_test();
     assert_eq!(
-        far.preceding_controller(1, Micros::secs(36)),
+        far.contacts.preceding_controller(1, Micros::secs(36)),
         Some("n-4".into())
     );
     assert_eq!(
-        far.preceding_controller(3, Micros::secs(36)),
+        far.contacts.preceding_controller(3, Micros::secs(36)),
         Some("n-2".into())
     );
-    assert_eq!(far.preceding_controller(0, Micros::secs(8)), None);
+    assert_eq!(far.contacts.preceding_controller(0, Micros::secs(8)), None);
 }
 
 // Guards against workers waiting for the end of a filter between controllers that they are not behind.
@@ -81,24 +93,24 @@
         let put = n.store.view.borrow_mut().put("r/leader", record, 7);
         put.expect("a leader");
     };
-    n.record_contact(m.clone());
+    n.contacts.record_contact(m.clone());
     lead("n-2");
     answer_all(&n);
     assert_eq!(
-        n.redirect_target(&m, "b"),
+        n.contacts.redirect_target(&m, "b"),
         None,
         "a cut of zones may keep it from there"
     );
     assert_eq!(
-        n.redirect_target(&m, "a"),
+        n.contacts.redirect_target(&m, "a"),
         Some("n-2".into()),
         "its own zone's leader it reaches"
     );
     let other = MachineId("m-2".into());
-    n.record_contact(other.clone());
-    n.peer_statuses.borrow_mut().remove("n-3");
+    n.contacts.record_contact(other.clone());
+    n.membership.forget_peers(Some("n-3"));
     assert_eq!(
-        n.redirect_target(&other, "b"),
+        n.contacts.redirect_target(&other, "b"),
         Some("n-2".into()),
         "not even this zone's reach each other"
     );
@@ -121,7 +133,7 @@
         query: String::new(),
         body: body.to_string().into(),
     };
-    let reply = async_io::block_on(route(node.clone(), call));
+    let reply = async_io::block_on(node.route(call));
     let body = serde_json::from_slice(&reply.body).expect("JSON");
     (reply.status, body)
 }
@@ -138,7 +150,7 @@
             gone: Vec::new(),
         },
     };
-    async_io::block_on(handle_peer_request(node.clone(), ping));
+    async_io::block_on(node.peer_api.answer(ping));
 }
 
 fn stop_of(job: &str) -> serde_json::Value {
@@ -177,16 +189,16 @@
 fn a_leader_without_a_lease_stops_what_is_cancelled_and_alone_hands_its_workers_on() {
     let n = Rc::new(node(14.0));
     answer_all(&n);
-    let over = election::LeaderLease::new(7, 1, Micros::ZERO);
-    let leading = Rc::new(LeaderTerm::new(&n, over));
-    *n.leading.borrow_mut() = Some(leading.clone());
+    let term = Rc::new(n.begin_term(LeaderLease::expired(7, 1)));
+    n.membership.set_own_term(Some(term.token()));
+    n.current_term.set(Some(term));
     hear_of_cancellation(&n, "j-1");
     let (_, answer) = checkin(&n, 1, 7, &["j-1", "j-2"]);
     assert_eq!(answer["orders"], stop_of("j-1"));
     n.store.mark_unreachable_for_test();
     assert_eq!(checkin(&n, 2, 7, &["j-2"]).0, 200, "an outage for all");
-    n.peer_statuses.borrow_mut().clear();
-    assert!(n.is_isolated());
+    n.membership.forget_peers(None);
+    assert!(n.membership.is_isolated());
     assert_eq!(checkin(&n, 3, 7, &["j-2"]).0, 200, "its lease goes first");
     let (status, answer) = checkin(&n, 4, 7, &["j-2"]);
     assert_eq!((status, answer["muster"].as_str()), (421, Some("n-0")));
@@ -196,23 +208,31 @@
 #[test]
 fn where_sockets_are_short_connections_of_users_end_with_each_answer() {
     let node = Rc::new(node(14.0));
+    let max = node.connections.max();
+    let mut open = Vec::new();
+    let mut hold = |count: usize| {
+        open.truncate(count);
+        while open.len() < count {
+            open.push(node.connections.accept().expect("a free socket"));
+        }
+    };
     let call = |method, path: &str| HttpRequest {
         method,
         path: path.into(),
         query: String::new(),
         body: Vec::new(),
     };
-    let closes = |call| async_io::block_on(route(node.clone(), call)).close;
+    let closes = |call| async_io::block_on(node.route(call)).close;
     assert!(!closes(call(Method::Get, "/ready")));
     // First users make room, who come back through the load balancer.
-    node.connections.set(node.max_connections() * 3 / 4 + 1);
+    hold(max * 3 / 4 + 1);
     assert!(closes(call(Method::Get, "/ready")));
     assert!(!closes(call(Method::Post, "/checkin")));
     // Where there are fewer sockets than workers, workers take turns as well: each heartbeat comes on a connection of its own.
-    node.connections.set(node.max_connections());
+    hold(max);
     assert!(closes(call(Method::Get, "/ready")));
     assert!(closes(call(Method::Post, "/checkin")));
-    node.connections.set(node.max_connections() / 2);
+    hold(max / 2);
     assert!(!closes(call(Method::Get, "/ready")));
     assert!(!closes(call(Method::Post, "/checkin")));
 }
--- a/src/election.rs
+++ b/src/election.rs
@@ -1,200 +1,223 @@
-//! Who leads: the holder of the leader key, which hangs on a lease; the key's version is the token.
+//! Leader election: the leader is the holder of the leader key, which hangs on a lease; the key's version is the fencing
+//! token.
 
-use crate::clock::sleep;
-use crate::controller::Controller;
-use crate::kv::{Change, Condition, KvError, Outcome, Urgency};
-use crate::store::{LEADER, LOSS, LeaderRecord, TERM};
+use crate::clock::{Clock, sleep};
+use crate::kv::{Change, Condition, KvClient, KvError, Outcome, Urgency};
+use crate::membership::Membership;
+use crate::state_loss::StateLossRecovery;
+use crate::store::{LEADER, LOSS, LeaderRecord, StateCache, TERM};
+use crate::term::{LeaderLease, TermEnd};
 use crate::units::Micros;
 use futures_lite::FutureExt;
 use log::{debug, info};
 use serde_json::json;
-use std::cell::Cell;
+use std::rc::Rc;
 
-/// How often a controller looks whether there is a leader, beside every change of the view.
+/// How often a controller checks whether there is a leader, beside every change of the view.
 const ELECTION_CHECK_INTERVAL: Micros = Micros::millis(500);
 /// How long a new leader waits for its view to hold everything before its own election.
 const CATCH_UP_TIMEOUT: Micros = Micros::secs(2);
 
-/// A lease on leading.
-pub struct LeaderLease {
-    /// The token.
-    pub token: u64,
-    /// The version of the leader key: the token less what is added to it after a loss of stored state.
-    pub revision: u64,
-    /// The lease.
-    pub lease: u64,
-    /// Losses of stored state that this process had found by then.
-    pub losses_found: u64,
-    /// Until when it certainly lasts, by this controller's own clock.
-    valid_until: Cell<Micros>,
+/// The conditions and writes with which a controller takes the leader key.
+struct Campaign {
+    record: LeaderRecord,
+    conditions: Vec<Condition>,
+    writes: Vec<Change>,
 }
 
-impl LeaderLease {
-    /// Whether nobody else can lead yet.
-    pub fn is_valid(&self, now: Micros) -> bool {
-        now < self.valid_until.get()
-    }
+/// One controller's part in elections.
+pub struct Election {
+    clock: Clock,
+    kv: Rc<KvClient>,
+    store: Rc<StateCache>,
+    membership: Rc<Membership>,
+    state_loss: Rc<StateLossRecovery>,
+    /// Lifetime of the lease.
+    ttl: Micros,
+}
 
-    /// A lease where no stored state was ever lost.
-    pub fn new(token: u64, lease: u64, valid_until: Micros) -> LeaderLease {
-        LeaderLease {
-            token,
-            revision: token,
-            lease,
-            losses_found: 0,
-            valid_until: Cell::new(valid_until),
+impl Election {
+    /// A controller that has not stood for election yet; `ttl` is the lifetime of the leader's lease.
+    pub fn new(
+        clock: Clock,
+        kv: Rc<KvClient>,
+        store: Rc<StateCache>,
+        membership: Rc<Membership>,
+        state_loss: Rc<StateLossRecovery>,
+        ttl: Micros,
+    ) -> Election {
+        Election {
+            clock,
+            kv,
+            store,
+            membership,
+            state_loss,
+            ttl,
         }
     }
-}
 
-/// The end of a lease of `ttl` renewed by a request sent at `sent`: clocks may drift by 0.05%, so a hundredth is
-/// more than enough.
-fn lease_expiry(sent: Micros, ttl: Micros) -> Micros {
-    sent + ttl.scaled(99, 100)
-}
-
-/// Waits until this controller is elected and its view holds all that went before.
-pub async fn acquire(node: &Controller) -> LeaderLease {
-    loop {
-        let changed = node.store.changed.listen();
-        let holder = {
-            let view = node.store.view.borrow();
-            view.loaded
-                .then(|| view.leader.as_ref().map(|l| l.value.clone()))
-        };
-        match holder {
-            Some(None) if node.is_eligible() => {
-                if let Some(leadership) = campaign(node).await {
-                    return leadership;
+    /// Waits until this controller is elected and its view holds all that went before.
+    pub async fn acquire(&self) -> LeaderLease {
+        loop {
+            let changed = self.store.changed.listen();
+            let holder = {
+                let view = self.store.view.borrow();
+                view.loaded
+                    .then(|| view.leader.as_ref().map(|l| l.value.clone()))
+            };
+            match holder {
+                Some(None) if self.state_loss.is_eligible() => {
+                    if let Some(lease) = self.campaign().await {
+                        return lease;
+                    }
                 }
+                // A key of this node that this process does not lead by is its former self's, or a term just given up:
+                // its lease need not run out first.
+                Some(Some(record)) if record.node == self.membership.node() => {
+                    let revoked = self.kv.revoke(record.lease).await;
+                    debug!("event=stale_lease_revoked good={}", revoked.is_ok());
+                }
+                _ => {}
             }
-            // A key of this node that this process does not lead by is its former self's, or a term just given up:
-            // its lease need not run out first.
-            Some(Some(record)) if record.node == node.platform.node => {
-                let ended = node.state.revoke(record.lease).await;
-                debug!("event=stale_lease_revoked good={}", ended.is_ok());
-            }
-            _ => {}
+            let interval = async {
+                sleep(ELECTION_CHECK_INTERVAL).await;
+            };
+            changed.or(interval).await;
         }
-        let look = async {
-            sleep(ELECTION_CHECK_INTERVAL).await;
-        };
-        changed.or(look).await;
     }
-}
 
-/// One try to take the free leader key.
-async fn campaign(node: &Controller) -> Option<LeaderLease> {
-    let ttl = node.settings.leader_lease();
-    let sent = node.clock.now();
-    let lease = node.state.grant(ttl).await.ok()?;
-    let record = LeaderRecord {
-        node: node.platform.node.clone(),
-        incarnation: node.incarnation,
-        lease,
-    };
-    let losses_found = node.store.losses_found();
-    let mut when = vec![Condition::absent(LEADER.into())];
-    let mut writes = vec![
-        Change::Put {
-            key: LEADER.into(),
-            value: json!(record),
-            lease: Some(lease),
-        },
-        Change::put(TERM.into(), json!(node.platform.node)),
-    ];
-    // A loss that is to be rebuilt is written down together with who rebuilds it.
-    if let Some(loss) = node.loss_to_rebuild() {
-        let before = node
-            .store
-            .view
-            .borrow()
-            .loss
-            .as_ref()
-            .map_or(0, |l| l.version);
-        when.push(Condition {
-            key: LOSS.into(),
-            version: before,
-        });
-        writes.push(Change::put(LOSS.into(), json!(loss)));
-    }
-    let revision = match node.state.txn(Urgency::Now, &when, &writes).await {
-        Ok(Outcome::Applied(revision)) => revision,
-        Ok(Outcome::Conflict(_)) | Err(KvError::Refused(_)) => {
-            let _ = node.state.revoke(lease).await;
+    /// One try to take the free leader key.
+    async fn campaign(&self) -> Option<LeaderLease> {
+        let requested_at = self.clock.now();
+        let lease = self.kv.grant(self.ttl).await.ok()?;
+        let losses_found = self.store.losses_found();
+        let campaign = self.prepare_campaign(lease);
+        let revision = self.take_leader_key(&campaign).await;
+        let Some(revision) = revision else {
+            let _ = self.kv.revoke(lease).await;
+            return None;
+        };
+        let is_known = self.is_revision_of_lost_leader(revision);
+        if is_known
+            || !self
+                .store
+                .wait_for_revision(revision, CATCH_UP_TIMEOUT)
+                .await
+        {
+            let _ = self.kv.revoke(lease).await;
             return None;
         }
-        // It may have been applied: the key tells. If it is applied later, the lease has ended by then or the view
-        // shows this node as the holder, and the lease is ended.
-        Err(_) => match node.state.get(Urgency::Now, LEADER).await {
-            Ok(Ok(item)) if item.value == json!(record) => item.version,
-            _ => {
-                let _ = node.state.revoke(lease).await;
-                return None;
-            }
-        },
-    };
-    // Guards against a late write of a leader from before a loss, which would find its own version of the key again.
-    let is_known = node.store.loss.borrow().as_ref().is_some_and(|loss| {
-        let leader = loss.snapshot.as_ref().and_then(|view| view.leader.as_ref());
-        leader.is_some_and(|leader| leader.version == revision)
-    });
-    if is_known
-        || !node
-            .store
-            .wait_for_revision(revision, CATCH_UP_TIMEOUT)
-            .await
-    {
-        let _ = node.state.revoke(lease).await;
-        return None;
+        let token = self.store.view.borrow().token(revision);
+        info!("event=leader_elected token={token}");
+        Some(LeaderLease::new(
+            token,
+            revision,
+            lease,
+            losses_found,
+            requested_at,
+            self.ttl,
+        ))
     }
-    let token = node.store.view.borrow().token(revision);
-    info!("event=leader_elected token={token}");
-    Some(LeaderLease {
-        token,
-        revision,
-        lease,
-        losses_found,
-        valid_until: Cell::new(lease_expiry(sent, ttl)),
-    })
-}
 
-/// Renews the lease until it is lost or another controller leads; says why.
-pub async fn hold(node: &Controller, leadership: &LeaderLease) -> &'static str {
-    let ttl = node.settings.leader_lease();
-    let mut outage = false;
-    loop {
-        sleep(ttl.scaled(1, 4)).await;
-        if node.cluster_status().token > leadership.token {
-            return "another controller leads";
+    fn prepare_campaign(&self, lease: u64) -> Campaign {
+        let node = self.membership.node();
+        let record = LeaderRecord {
+            node: node.to_owned(),
+            incarnation: self.membership.incarnation(),
+            lease,
+        };
+        let mut conditions = vec![Condition::absent(LEADER.into())];
+        let mut writes = vec![
+            Change::Put {
+                key: LEADER.into(),
+                value: json!(record),
+                lease: Some(lease),
+            },
+            Change::put(TERM.into(), json!(node)),
+        ];
+        // A loss that is to be rebuilt is written down together with who rebuilds it.
+        if let Some(loss) = self.state_loss.loss_to_rebuild() {
+            let view = self.store.view.borrow();
+            conditions.push(Condition {
+                key: LOSS.into(),
+                version: view.loss.as_ref().map_or(0, |l| l.version),
+            });
+            writes.push(Change::put(LOSS.into(), json!(loss)));
         }
-        if node.store.losses_found() != leadership.losses_found {
-            return "stored state was lost";
+        Campaign {
+            record,
+            conditions,
+            writes,
         }
-        let sent = node.clock.now();
-        match node.state.extend(leadership.lease).await {
-            Ok(()) => {
-                node.store.mark_reachable();
-                leadership.valid_until.set(lease_expiry(sent, ttl));
-                if outage {
-                    outage = false;
-                    info!(
-                        "event=leader_lease_renewal_restored token={}",
-                        leadership.token
-                    );
-                }
+    }
+
+    /// Writes the leader key; returns its version where that certainly succeeded.
+    async fn take_leader_key(&self, campaign: &Campaign) -> Option<u64> {
+        let Campaign {
+            record,
+            conditions,
+            writes,
+        } = campaign;
+        match self.kv.txn(Urgency::Now, conditions, writes).await {
+            Ok(Outcome::Applied(revision)) => Some(revision),
+            Ok(Outcome::Conflict(_)) | Err(KvError::Refused(_)) => None,
+            // It may have been applied: the key tells. If it is applied later, the lease has ended by then or the view
+            // shows this node as the holder, and the lease is ended.
+            Err(_) => match self.kv.get(Urgency::Now, LEADER).await {
+                Ok(Ok(item)) if item.value == json!(record) => Some(item.version),
+                _ => None,
+            },
+        }
+    }
+
+    /// Whether the leader key had this version before a loss of stored state.
+    ///
+    /// Guards against a late write of a leader from before a loss, which would find its own version of the key again.
+    fn is_revision_of_lost_leader(&self, revision: u64) -> bool {
+        let loss = self.store.loss.borrow();
+        let snapshot = loss.as_ref().and_then(|loss| loss.snapshot.as_ref());
+        let leader = snapshot.and_then(|view| view.leader.as_ref());
+        leader.is_some_and(|leader| leader.version == revision)
+    }
+
+    /// Renews the lease until it is lost or another controller leads; returns why.
+    pub async fn hold(&self, lease: &LeaderLease) -> TermEnd {
+        let mut is_outage_logged = false;
+        loop {
+            sleep(self.ttl.scaled(1, 4)).await;
+            if self.membership.cluster_status().token > lease.token {
+                return TermEnd::Superseded;
             }
-            Err(KvError::NoLease) => return "lease lost",
-            Err(e) => {
-                debug!("event=renewal_failed error={:?}", e.to_string());
-                if !outage && !leadership.is_valid(node.clock.now()) {
-                    outage = true;
-                    info!(
-                        "event=leader_lease_renewal_lost token={} orders=held",
-                        leadership.token
-                    );
+            if self.store.losses_found() != lease.losses_found {
+                return TermEnd::StateLost;
+            }
+            let requested_at = self.clock.now();
+            match self.kv.extend(lease.id).await {
+                Ok(()) => {
+                    self.store.mark_reachable();
+                    lease.renew(requested_at, self.ttl);
+                    if is_outage_logged {
+                        is_outage_logged = false;
+                        info!("event=leader_lease_renewal_restored token={}", lease.token);
+                    }
+                }
+                Err(KvError::NoLease) => return TermEnd::LeaseExpired,
+                Err(e) => {
+                    debug!("event=renewal_failed error={:?}", e.to_string());
+                    if !is_outage_logged && !lease.is_valid(self.clock.now()) {
+                        is_outage_logged = true;
+                        info!(
+                            "event=leader_lease_renewal_lost token={} orders=held",
+                            lease.token
+                        );
+                    }
                 }
             }
         }
     }
+
+    /// Gives the leadership up, so that the next leader need not wait for the lease to expire.
+    pub async fn resign(&self, lease: &LeaderLease) {
+        let _ = self.kv.revoke(lease.id).await;
+    }
 }
--- a/src/kv.rs
+++ b/src/kv.rs
@@ -13,6 +13,8 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
+/// Most bytes of the changes in a transaction of 64 KiB, which leaves room for its conditions.
+pub const MAX_BATCH_BYTES: usize = 36 * 1024;
 /// How long a request may take before its outcome counts as unknown.
 const CALL_TIMEOUT: Micros = Micros::millis(1_500);
 /// A transaction without an answer is sent again after this at the least; answers normally take a few milliseconds.
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -1,7 +1,8 @@
-use super::*;
-use crate::cancellation::ResidueCleared;
+use super::frame::{MAX_FRAME, read_frame, write_frame};
+use super::{Cancellation, ClusterStatus, Frame, Peer, PeerReply, PeerRequest, ResidueCleared};
 use crate::net::Listener;
-use crate::scheduler::{JobId, MachineId};
+use crate::scheduler::{JobId, MAX_TASKS, MachineId};
+use crate::units::Micros;
 use futures_lite::future;
 
 // Guards against what cost two hundred live machines on a quiet day: the other side had closed a connection that
--- a/src/state_loss/plan.rs
+++ b/src/state_loss/plan.rs
@@ -1,6 +1,6 @@
 //! What has to be written to rebuild: what a snapshot has and the stored state lacks.
 
-use crate::controller::Controller;
+use super::StateLossRecovery;
 use crate::scheduler::{JobEnd, JobId, JobOutcome};
 use crate::store::{
     ArchivedEnd, MACHINE_TYPES, View, archive_key, chunk_key, end_key, job_key, provisioning_key,
@@ -12,66 +12,64 @@
 /// Bytes of an archived end, with room to spare.
 const ARCHIVED_BYTES: usize = 160;
 
-/// What is missing, as far as this controller's snapshot tells.
-pub(super) fn plan(node: &Controller, number: u64) -> Vec<Restore<Value>> {
-    let loss = node.store.loss.borrow();
-    let Some(snapshot) = loss.as_ref().and_then(|l| l.snapshot.as_ref()) else {
-        return Vec::new();
-    };
-    let view = node.store.view.borrow();
-    let cancellations = node.cancellations.borrow();
-    let cancelled = cancellations.cancelled().map(|(job, at)| {
-        let end = JobEnd {
-            outcome: JobOutcome::Aborted,
-            at,
-            done: 0,
+impl StateLossRecovery {
+    /// What is missing, as far as this controller's snapshot tells.
+    pub(super) fn plan(&self, number: u64) -> Vec<Restore<Value>> {
+        let loss = self.store.loss.borrow();
+        let Some(snapshot) = loss.as_ref().and_then(|l| l.snapshot.as_ref()) else {
+            return Vec::new();
         };
-        (job, end)
-    });
-    let mut ends: BTreeMap<&JobId, JobEnd> = cancelled.collect();
-    ends.extend(snapshot.ends.iter().map(|(id, end)| (id, end.value)));
-    ends.retain(|id, _| !view.ends.contains_key(*id));
-    // Ends of jobs whose records are there are keys of their own, as writes are conditional on them.
-    let (of_records, archived): (Vec<_>, Vec<_>) = ends
-        .into_iter()
-        .partition(|(id, _)| snapshot.jobs.contains_key(*id) || view.jobs.contains_key(*id));
-    // Only ends that are not there are among these: whatever their version, there is nothing that they could replace.
-    let new = |(key, value): (String, Value)| (key, Stored { value, version: 1 });
-    let mut records: Vec<(String, Stored<Value>)> = of_records
-        .iter()
-        .map(|(id, end)| new((end_key(id), json!(end))))
-        .collect();
-    records.extend(
-        archives(node, number, &archived, &view)
+        let view = self.store.view.borrow();
+        let cancelled = self.cancellations.cancelled();
+        let cancelled = cancelled.iter().map(|(job, at)| {
+            let end = JobEnd {
+                outcome: JobOutcome::Aborted,
+                at: *at,
+                done: 0,
+            };
+            (job, end)
+        });
+        let mut ends: BTreeMap<&JobId, JobEnd> = cancelled.collect();
+        ends.extend(snapshot.ends.iter().map(|(id, end)| (id, end.value)));
+        ends.retain(|id, _| !view.ends.contains_key(*id));
+        // Ends of jobs whose records are there are keys of their own, as writes are conditional on them.
+        let (of_records, archived): (Vec<_>, Vec<_>) = ends
             .into_iter()
-            .map(new),
-    );
-    records.extend(snapshot.records(&view));
-    missing(records, &view.present())
-}
+            .partition(|(id, _)| snapshot.jobs.contains_key(*id) || view.jobs.contains_key(*id));
+        // Only ends that are not there are among these: whatever their version, there is nothing that they could replace.
+        let new = |(key, value): (String, Value)| (key, Stored { value, version: 1 });
+        let mut records: Vec<(String, Stored<Value>)> = of_records
+            .iter()
+            .map(|(id, end)| new((end_key(id), json!(end))))
+            .collect();
+        records.extend(self.archives(number, &archived, &view).into_iter().map(new));
+        records.extend(snapshot.records(&view));
+        missing(records, &view.present())
+    }
 
-/// Ends in as few values as they fit into.
-fn archives(
-    node: &Controller,
-    number: u64,
-    ends: &[(&JobId, JobEnd)],
-    view: &View,
-) -> Vec<(String, Value)> {
-    let value_bytes = node.platform.facts.state.value_kb * 1024.0;
-    let most = (value_bytes as usize / ARCHIVED_BYTES).max(1);
-    // A rebuild that was cut off may have written some of this loss already.
-    let first = view.archives;
-    let parts = ends.chunks(most).enumerate();
-    parts
-        .map(|(part, some)| {
-            let some = some.iter().map(|(job, end)| ArchivedEnd {
-                job: (*job).clone(),
-                end: *end,
-            });
-            let some: Vec<ArchivedEnd> = some.collect();
-            (archive_key(number, first + part), json!(some))
-        })
-        .collect()
+    /// Ends in as few values as they fit into.
+    fn archives(
+        &self,
+        number: u64,
+        ends: &[(&JobId, JobEnd)],
+        view: &View,
+    ) -> Vec<(String, Value)> {
+        let value_bytes = self.limits.value_kb * 1024.0;
+        let most = (value_bytes as usize / ARCHIVED_BYTES).max(1);
+        // A rebuild that was cut off may have written some of this loss already.
+        let first = view.archives;
+        let parts = ends.chunks(most).enumerate();
+        parts
+            .map(|(part, some)| {
+                let some = some.iter().map(|(job, end)| ArchivedEnd {
+                    job: (*job).clone(),
+                    end: *end,
+                });
+                let some: Vec<ArchivedEnd> = some.collect();
+                (archive_key(number, first + part), json!(some))
+            })
+            .collect()
+    }
 }
 
 /// Keys in batches that a transaction holds.
--- /dev/null
+++ b/src/state_loss/restore.rs
@@ -0,0 +1,112 @@
+//! What the elected leader does after a loss: writing what is missing, and marking the loss as dealt with.
+
+use super::plan::batches;
+use super::{CATCH_UP_TIMEOUT, RETRY_PAUSE, StateLossRecovery};
+use crate::clock::sleep;
+use crate::kv::{Change, Condition, MAX_BATCH_BYTES, Outcome, Urgency};
+use crate::store::{LEADER, LOSS, LossRecord};
+use crate::term::{LeaderLease, TermEnd};
+use log::{debug, info};
+use ravenhead_recovery::Restore;
+use serde_json::{Value, json};
+
+impl StateLossRecovery {
+    /// Writes what was lost, as the elected leader; an error says why the term has ended. Does nothing where nothing was lost.
+    pub async fn restore(&self, lease: &LeaderLease) -> Result<(), TermEnd> {
+        let number = {
+            let view = self.store.view.borrow();
+            let unfinished = view.loss.as_ref().filter(|l| !l.value.restored);
+            match unfinished {
+                Some(loss) if self.is_enabled => loss.value.number,
+                _ => return Ok(()),
+            }
+        };
+        let started_at = self.clock.now();
+        let limits = &self.limits;
+        self.kv.set_share(limits.rps, limits.write_rps);
+        let mut written = 0;
+        loop {
+            let plan = self.plan(number);
+            if plan.is_empty() {
+                break;
+            }
+            for batch in batches(&plan, limits.txn_ops, MAX_BATCH_BYTES) {
+                written += batch.len();
+                if !self.write(lease, batch).await? {
+                    break;
+                }
+            }
+        }
+        self.finish(lease, false).await?;
+        *self.store.loss.borrow_mut() = None;
+        let took = self.clock.now().since(started_at);
+        info!("event=state_restored loss={number} keys={written} after={took}");
+        Ok(())
+    }
+
+    /// Marks the last loss as rebuilt, or as confirmed by every machine.
+    pub async fn finish(&self, lease: &LeaderLease, confirmed: bool) -> Result<(), TermEnd> {
+        loop {
+            let found = self.store.view.borrow().loss.clone();
+            let Some(found) = found else { return Ok(()) };
+            let record = LossRecord {
+                restored: true,
+                confirmed,
+                ..found.value
+            };
+            let done = [Restore {
+                key: LOSS.to_owned(),
+                value: json!(record),
+                replaces: found.version,
+            }];
+            if self.write(lease, &done).await? {
+                return Ok(());
+            }
+        }
+    }
+
+    /// Writes keys under the leader key; false where one of them is not as it was read, so that the plan must be made anew.
+    async fn write(&self, lease: &LeaderLease, keys: &[Restore<Value>]) -> Result<bool, TermEnd> {
+        let leader = Condition {
+            key: LEADER.into(),
+            version: lease.revision,
+        };
+        let conditions = keys.iter().map(|restore| Condition {
+            key: restore.key.clone(),
+            version: restore.replaces,
+        });
+        let when: Vec<Condition> = conditions.chain([leader]).collect();
+        let puts = keys
+            .iter()
+            .map(|restore| Change::put(restore.key.clone(), restore.value.clone()));
+        let puts: Vec<Change> = puts.collect();
+        loop {
+            match self.kv.txn(Urgency::Paced, &when, &puts).await {
+                Ok(Outcome::Applied(revision)) => {
+                    self.store.mark_reachable();
+                    if !self
+                        .store
+                        .wait_for_revision(revision, CATCH_UP_TIMEOUT)
+                        .await
+                    {
+                        return Err(TermEnd::ViewStalled);
+                    }
+                    return Ok(true);
+                }
+                Ok(Outcome::Conflict(failed)) if failed.iter().any(|k| k == LEADER) => {
+                    return Err(TermEnd::LeaderKeyChanged);
+                }
+                Ok(Outcome::Conflict(failed)) => {
+                    debug!("event=restore_conflict keys={failed:?}");
+                    self.store.barrier().await;
+                    return Ok(false);
+                }
+                Err(e) => debug!("event=restore_failed error={:?}", e.to_string()),
+            }
+            if self.store.losses_found() != lease.losses_found {
+                return Err(TermEnd::StateLost);
+            }
+            sleep(RETRY_PAUSE).await;
+        }
+    }
+}
--- a/tests/pinned_frames.rs
+++ b/tests/pinned_frames.rs
@@ -8,9 +8,10 @@
 use async_io::block_on;
 use bitcode::{DecodeOwned, Encode};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use ravenhead::cancellation::{Cancellation, ResidueCleared};
 use ravenhead::net::{Listener, Stream};
-use ravenhead::peer::{ClusterStatus, Frame, Peer, PeerReply, PeerRequest, serve};
+use ravenhead::peer::{
+    Cancellation, ClusterStatus, Frame, Peer, PeerReply, PeerRequest, ResidueCleared, serve,
+};
 use ravenhead::scheduler::{
     AgentCommand, ExitCause, Heartbeat, JobId, MachineId, TaskState, TaskStatus,
 };
