--- /dev/null
+++ b/src/config/operator.rs
@@ -0,0 +1,124 @@
+//! The operators' own settings (XML).
+
+use crate::config::error::{ConfigError, InvalidSetting, Reason};
+use crate::config::xml::{Element, read_elements};
+use std::fs;
+use std::ops::RangeInclusive;
+use std::path::Path;
+
+/// The operators' own settings. Every element may be left out; `None` stands for its default.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct Settings {
+    /// Interval at which pending jobs are offered again, in milliseconds.
+    pub retry_ms: Option<u64>,
+    /// Upper bound of the random time added to that interval, in milliseconds.
+    pub jitter_ms: Option<u64>,
+    /// How long an empty machine is kept, in seconds.
+    pub idle_s: Option<u64>,
+    /// Free places kept for classes that can't wait for a machine to boot.
+    pub reserve: Option<u32>,
+    /// Upper bound of the jobs that are accepted and not terminal.
+    pub admission_cap: Option<usize>,
+    /// Upper bound of the offers in one scheduling cycle; beyond it machines are sampled.
+    pub max_offers_per_cycle: Option<usize>,
+    /// Upper bound of the machines provisioned in one scheduling cycle.
+    pub max_scale_out_per_cycle: Option<usize>,
+    /// Time to live of the leader's lease, in milliseconds.
+    pub leader_lease_ms: Option<u64>,
+    /// Whether a new leader logs how much it has confirmed of what it found recorded: 0 or 1.
+    pub recovery_report: Option<u64>,
+    /// Whether stored state that was lost is rebuilt: 0 or 1.
+    pub rebuild: Option<u64>,
+}
+
+/// An element of the file: its name there, the numbers that it accepts, and the setting that it stands for.
+pub(super) struct ElementKind {
+    pub(super) name: &'static str,
+    range: RangeInclusive<u64>,
+    set: fn(&mut Settings, u64),
+}
+
+impl ElementKind {
+    const fn new(
+        name: &'static str,
+        range: RangeInclusive<u64>,
+        set: fn(&mut Settings, u64),
+    ) -> ElementKind {
+        ElementKind { name, range, set }
+    }
+}
+
+/// Every element that the file may have.
+pub(super) static ELEMENTS: [ElementKind; 10] = [
+    ElementKind::new("retry-ms", 50..=60_000, |s, n| s.retry_ms = Some(n)),
+    ElementKind::new("jitter-ms", 0..=60_000, |s, n| s.jitter_ms = Some(n)),
+    ElementKind::new("idle-s", 0..=86_400, |s, n| s.idle_s = Some(n)),
+    ElementKind::new("reserve", 0..=10_000, |s, n| {
+        s.reserve = u32::try_from(n).ok();
+    }),
+    ElementKind::new("admission-cap", 1..=10_000_000, |s, n| {
+        s.admission_cap = Some(saturating_usize(n));
+    }),
+    ElementKind::new("offers-per-round", 100..=10_000_000, |s, n| {
+        s.max_offers_per_cycle = Some(saturating_usize(n));
+    }),
+    ElementKind::new("rent-per-round", 1..=1_000, |s, n| {
+        s.max_scale_out_per_cycle = Some(saturating_usize(n));
+    }),
+    ElementKind::new("leader-lease-ms", 1_000..=60_000, |s, n| {
+        s.leader_lease_ms = Some(n);
+    }),
+    ElementKind::new("recovery-report", 0..=1, |s, n| s.recovery_report = Some(n)),
+    ElementKind::new("rebuild", 0..=1, |s, n| s.rebuild = Some(n)),
+];
+
+fn saturating_usize(number: u64) -> usize {
+    usize::try_from(number).unwrap_or(usize::MAX)
+}
+
+impl Settings {
+    /// Reads and checks the file.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the file can't be read or [`Settings::parse`] refuses its text.
+    pub fn load(path: &Path) -> Result<Settings, ConfigError> {
+        fs::read_to_string(path)
+            .map_err(|e| InvalidSetting::new("file", e))
+            .and_then(|text| Settings::parse(&text))
+            .map_err(|invalid| ConfigError::new(path, invalid))
+    }
+
+    /// Reads and checks the text.
+    ///
+    /// # Errors
+    ///
+    /// Fails at the first element that is unknown, repeated, not a whole number or out of its range, and where the text
+    /// is not well-formed XML with the root element `ravenhead`.
+    pub fn parse(text: &str) -> Result<Settings, InvalidSetting> {
+        let mut settings = Settings::default();
+        for element in read_elements(text)? {
+            settings.apply(element)?;
+        }
+        Ok(settings)
+    }
+
+    fn apply(&mut self, Element { name, text }: Element) -> Result<(), InvalidSetting> {
+        let Some(kind) = ELEMENTS.iter().find(|kind| kind.name == name) else {
+            return Err(InvalidSetting::new(name, Reason::UnknownElement));
+        };
+        let Ok(number) = text.trim().parse() else {
+            return Err(InvalidSetting::new(name, Reason::NotInteger(text)));
+        };
+        if !kind.range.contains(&number) {
+            let reason = Reason::OutOfRange {
+                min: *kind.range.start(),
+                max: *kind.range.end(),
+                value: number,
+            };
+            return Err(InvalidSetting::new(name, reason));
+        }
+        (kind.set)(self, number);
+        Ok(())
+    }
+}
