--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -1,22 +1,26 @@
-use super::*;
+use crate::http::server::RESPONSE_TIMEOUT;
+use crate::http::{Client, HttpError, HttpRequest, HttpResponse, join_all, serve, timeout};
 use crate::net::Listener;
+use crate::units::Micros;
 use futures_lite::future;
+use http_types::Method;
+use std::cell::Cell;
 use std::time::Duration;
 
-// Guards against answers from before a pause: another controller may have told something newer meanwhile.
+// Guards against responses from before a pause: another controller may have sent something newer meanwhile.
 #[test]
-fn an_answer_that_nobody_waits_for_any_more_is_not_sent() {
+fn response_is_not_sent_after_its_client_has_given_up() {
     async_io::block_on(async {
         let listener = Listener::bind("127.0.0.1:0".parse().unwrap())
             .await
             .unwrap();
         let client = Client::new(listener.local_addr().unwrap());
-        let slept = std::cell::Cell::new(false);
+        let has_slept = Cell::new(false);
         let server = async {
             for _ in 0..2 {
                 let stream = listener.accept().await.unwrap();
                 let handle = |_: HttpRequest| async {
-                    if !slept.replace(true) {
+                    if !has_slept.replace(true) {
                         std::thread::sleep(Duration::from(RESPONSE_TIMEOUT + Micros::millis(1)));
                     }
                     HttpResponse {
@@ -35,3 +39,47 @@
         future::zip(server, asking).await;
     });
 }
+
+#[test]
+fn error_body_is_one_json_object_with_the_reason() {
+    let body = |reason| String::from_utf8(HttpResponse::error(400, reason).body).expect("UTF-8");
+    assert_eq!(body("no such job"), r#"{"error":"no such job"}"#);
+    assert_eq!(body("a \"b\"\n"), r#"{"error":"a \"b\"\n"}"#);
+    let busy = HttpResponse::retry_later(429, "full", 2);
+    assert_eq!((busy.status, busy.retry_after), (429, Some(2)));
+    assert_eq!(busy.body, br#"{"error":"full"}"#);
+}
+
+#[test]
+fn refused_connection_is_an_error_of_a_request_not_sent() {
+    async_io::block_on(async {
+        let listener = Listener::bind("127.0.0.1:0".parse().unwrap())
+            .await
+            .unwrap();
+        let client = Client::new(listener.local_addr().unwrap());
+        drop(listener);
+        let result = client.call(Method::Get, "/ready", None, Micros::secs(30));
+        let error = result.await.expect_err("nobody listens");
+        assert!(matches!(error, HttpError::NotSent(_)), "{error:?}");
+        assert_eq!(error.to_string(), format!("not sent: {}", error.reason()));
+    });
+}
+
+#[test]
+fn join_all_returns_outputs_in_the_order_of_the_futures() {
+    let after = |ms| async move {
+        crate::clock::sleep(Micros::millis(ms)).await;
+        ms
+    };
+    let outputs = async_io::block_on(join_all(vec![after(20), after(1), after(10)]));
+    assert_eq!(outputs, [20, 1, 10]);
+}
+
+#[test]
+fn timeout_returns_nothing_once_the_time_has_run_out() {
+    async_io::block_on(async {
+        let limit = Micros::millis(1);
+        assert_eq!(timeout(limit, future::pending::<()>()).await, None);
+        assert_eq!(timeout(limit, async { 7 }).await, Some(7));
+    });
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod config;
 pub mod controller;
 pub mod election;
+pub mod futures;
 pub mod http;
 pub mod kv;
 pub mod leader;
