--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,209 +1,152 @@
-//! The cloud's client: machine types, machine list, provisioning requests and returns.
+//! The cloud's client: machine types, machine list, provisioning and termination.
+
+mod error;
+mod wire;
+
+pub use crate::cloud_types::{
+    Listed, ListedStatus, MAX_MACHINES_PER_PROVISIONING, MAX_MACHINES_PER_TERMINATION,
+    ProvisioningRequest,
+};
+pub use error::{CloudError, FailureCause, MalformedResponse};
 
 use crate::clock::sleep;
-use crate::http::{Client, HttpError};
+use crate::http::Client;
 use crate::scheduler::{MachineId, MachineType};
 use crate::units::Micros;
 use http_types::Method;
-use serde::Deserialize;
-use serde_json::json;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::Value;
 use std::net::SocketAddr;
-use thiserror::Error;
+use wire::{MachineList, MachineTypes, ProvisionBody, Provisioned, TerminateBody, parse_response};
 
+/// How long a request may take.
 const CALL_TIMEOUT: Micros = Micros::secs(4);
-const PAGE: usize = 500;
-/// How often a page that was refused is asked for.
-const PAGE_TRIES: usize = 4;
-/// The most machines one provisioning request may ask for.
-pub const MAX_MACHINES_PER_PROVISIONING: usize = 50;
-/// The most machines one return may name.
-pub const MAX_MACHINES_PER_TERMINATION: usize = 100;
-
-/// Why the cloud did not do what was asked.
-#[derive(Debug, Error)]
-pub enum CloudError {
-    /// None to be had of this type, zone and kind.
-    #[error("no capacity")]
-    NoCapacity,
-    /// Certainly not executed: too many requests, an outage, or no connection.
-    #[error("refused: {0}")]
-    Refused(String),
-    /// May have been executed, or may be later.
-    #[error("no answer: {0}")]
-    Unknown(String),
-    /// The cloud finds the request, or we find the answer, senseless.
-    #[error("malformed: {0}")]
-    Malformed(String),
-}
-
-/// A machine's state in the cloud's list.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum ListedStatus {
-    /// Not up yet.
-    Booting,
-    /// Up, or dead for less than half a minute.
-    Running,
-    /// Stopped on its own; free of charge.
-    Failed,
-    /// Something this version does not know.
-    #[serde(other)]
-    Unknown,
-}
-
-/// A machine in the cloud's list.
-#[derive(Debug, Clone, Deserialize)]
-pub struct Listed {
-    /// Its name.
-    #[serde(rename = "nameId")]
-    pub machine: MachineId,
-    /// Its type.
-    #[serde(rename = "rig")]
-    pub machine_type: String,
-    /// Its zone.
-    #[serde(rename = "yard")]
-    pub zone: String,
-    /// Whether the cloud may take it back.
-    #[serde(rename = "loaners")]
-    pub spot: bool,
-    /// Its state.
-    pub status: ListedStatus,
-    /// Time since the provisioning request.
-    #[serde(rename = "ageS")]
-    pub age_s: f64,
-}
-
-#[derive(Deserialize)]
-struct MachineTypes {
-    #[serde(rename = "rigs")]
-    machine_types: Vec<MachineType>,
-}
-
-#[derive(Deserialize)]
-struct Listing {
-    hosts: Vec<Listed>,
-    #[serde(default)]
-    more: bool,
-}
-
-#[derive(Deserialize)]
-struct Rented {
-    hosts: Vec<MachineId>,
-}
-
-/// What to provision, under a name that is never used for anything else. It is stored with the names that it is sent with.
-#[derive(Debug, Clone, PartialEq, serde::Serialize, Deserialize)]
-pub struct ProvisioningRequest {
-    /// The name of the request.
-    #[serde(rename = "charter")]
-    pub request_name: String,
-    /// The machine type.
-    #[serde(rename = "rig")]
-    pub machine_type: String,
-    /// The zone.
-    pub zone: String,
-    /// Whether spot.
-    pub spot: bool,
-    /// How many.
-    pub count: usize,
-}
+/// Machines in one page of the machine list.
+const PAGE_SIZE: usize = 500;
+/// How often a page is requested while the cloud refuses it.
+const MAX_PAGE_ATTEMPTS: usize = 4;
+/// Share of the request rate, as a divisor, that reading the machine list may take: the rest is left to provisioning and
+/// termination.
+const LIST_RATE_DIVISOR: f64 = 2.0;
 
 /// The cloud as one controller sees it.
 pub struct Cloud {
     client: Client,
-    /// Time between two pages of the machine list, so that listing a large fleet leaves half of the requests to provisioning requests
-    /// and returns.
-    between_pages: Micros,
+    /// Pause between two pages of the machine list, so that listing a large fleet leaves half of the requests to
+    /// provisioning and termination.
+    page_pause: Micros,
 }
 
 impl Cloud {
-    /// A client without connections.
+    /// Creates a client without connections for a cloud that takes `rps` requests a second.
     pub fn new(addr: SocketAddr, rps: f64) -> Cloud {
         Cloud {
             client: Client::new(addr),
-            between_pages: Micros::from_secs_f64(2.0 / rps),
-        }
-    }
-
-    async fn call<T: for<'a> Deserialize<'a>>(
-        &self,
-        method: Method,
-        path: &str,
-        body: Option<serde_json::Value>,
-    ) -> Result<T, CloudError> {
-        let body = body.map(|b| b.to_string().into_bytes());
-        let answer = self.client.call(method, path, body, CALL_TIMEOUT).await;
-        let (status, bytes) = answer.map_err(|e| {
-            self.client.forget_idle();
-            match e {
-                HttpError::NotSent(e) => CloudError::Refused(e),
-                HttpError::NoAnswer(e) => CloudError::Unknown(e),
-            }
-        })?;
-        let text = String::from_utf8_lossy(&bytes);
-        match status {
-            // An empty body, as a return may have, reads as null.
-            200 if bytes.is_empty() => serde_json::from_str("null"),
-            200 => serde_json::from_slice(&bytes),
-            503 if text.contains("no capacity") => return Err(CloudError::NoCapacity),
-            429 | 503 => return Err(CloudError::Refused(format!("status {status}"))),
-            500..=599 => return Err(CloudError::Unknown(format!("status {status}"))),
-            _ => return Err(CloudError::Malformed(format!("status {status} {text}"))),
+            page_pause: Micros::from_secs_f64(LIST_RATE_DIVISOR / rps),
         }
-        .map_err(|e| CloudError::Malformed(e.to_string()))
     }
 
-    /// The machine types and their current prices.
+    /// Returns the machine types with their current prices.
+    ///
+    /// # Errors
+    ///
+    /// Fails as every request to the cloud does; see [`CloudError`].
     pub async fn machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
-        let machine_types: MachineTypes = self.call(Method::Get, "/flavors", None).await?;
-        Ok(machine_types.machine_types)
+        let response: MachineTypes = self.get("/flavors").await?;
+        Ok(response.machine_types)
     }
 
-    /// All machines, as the lagging list has them, read page by page.
+    /// Returns all machines, as the lagging list has them, read page by page.
     ///
     /// Guards against a fleet of many pages whose list is never read to its end: one request too many, and all pages read
     /// so far would be read again.
+    ///
+    /// # Errors
+    ///
+    /// Fails where a page fails, or is refused at every attempt.
     pub async fn list(&self) -> Result<Vec<Listed>, CloudError> {
-        let mut all: Vec<Listed> = Vec::new();
+        let mut machines: Vec<Listed> = Vec::new();
         loop {
-            let page = self.page(all.last().map(|l| &l.machine)).await?;
-            let end = !page.more || page.hosts.is_empty();
-            all.extend(page.hosts);
-            if end {
-                return Ok(all);
+            let page = self.page_after(machines.last().map(|l| &l.machine)).await?;
+            let is_last = !page.more || page.machines.is_empty();
+            machines.extend(page.machines);
+            if is_last {
+                return Ok(machines);
             }
-            sleep(self.between_pages).await;
+            sleep(self.page_pause).await;
         }
     }
 
-    /// A page of the machine list; one that is refused is asked for again.
-    async fn page(&self, from: Option<&MachineId>) -> Result<Listing, CloudError> {
-        let path = match from {
-            Some(last) => format!("/hosts?from={last}&page={PAGE}"),
-            None => format!("/hosts?page={PAGE}"),
+    /// Returns the page of the machine list that follows a machine, or the first one.
+    async fn page_after(&self, last: Option<&MachineId>) -> Result<MachineList, CloudError> {
+        let path = match last {
+            Some(last) => format!("/hosts?from={last}&page={PAGE_SIZE}"),
+            None => format!("/hosts?page={PAGE_SIZE}"),
         };
-        let mut tries = PAGE_TRIES;
-        loop {
-            tries -= 1;
-            match self.call(Method::Get, &path, None).await {
-                Err(CloudError::Refused(_)) if tries > 0 => sleep(self.between_pages).await,
-                answer => return answer,
+        for _ in 1..MAX_PAGE_ATTEMPTS {
+            match self.get(&path).await {
+                Err(CloudError::Refused(_)) => sleep(self.page_pause).await,
+                result => return result,
             }
         }
+        self.get(&path).await
     }
 
-    /// Provisions machines; the same request may be repeated and rents once.
-    pub async fn provision(&self, r: &ProvisioningRequest) -> Result<Vec<MachineId>, CloudError> {
-        let body = json!({"charter": r.request_name, "rig": r.machine_type, "yard": r.zone,
-            "loaners": r.spot, "howMany": r.count});
-        let rented: Rented = self.call(Method::Post, "/hosts", Some(body)).await?;
-        Ok(rented.hosts)
+    /// Provisions machines and returns their names. The request may be repeated and is carried out once.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`CloudError::NoCapacity`] where there are no machines of this type, zone and kind, otherwise as every
+    /// request does. After [`CloudError::Unknown`] the machines may exist.
+    pub async fn provision(
+        &self,
+        request: &ProvisioningRequest,
+    ) -> Result<Vec<MachineId>, CloudError> {
+        let body = ProvisionBody::from(request);
+        let response: Provisioned = self.post("/hosts", &body).await?;
+        Ok(response.machines)
     }
 
-    /// Terminates machines; once this succeeds they are gone with everything on them.
+    /// Terminates machines. Once this succeeds they are gone with everything on them.
+    ///
+    /// # Errors
+    ///
+    /// Fails as every request to the cloud does. After [`CloudError::Unknown`] the machines may be gone.
     pub async fn terminate(&self, machines: &[MachineId]) -> Result<(), CloudError> {
-        let body = json!({ "hosts": machines });
-        let _: serde_json::Value = self.call(Method::Post, "/hosts/return", Some(body)).await?;
+        let _: Value = self
+            .post("/hosts/return", &TerminateBody { machines })
+            .await?;
         Ok(())
     }
+
+    async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CloudError> {
+        self.call(Method::Get, path, None).await
+    }
+
+    async fn post<T: DeserializeOwned>(
+        &self,
+        path: &str,
+        body: &impl Serialize,
+    ) -> Result<T, CloudError> {
+        let body = serde_json::to_vec(body).map_err(MalformedResponse::Json)?;
+        self.call(Method::Post, path, Some(body)).await
+    }
+
+    async fn call<T: DeserializeOwned>(
+        &self,
+        method: Method,
+        path: &str,
+        body: Option<Vec<u8>>,
+    ) -> Result<T, CloudError> {
+        let result = self.client.call(method, path, body, CALL_TIMEOUT).await;
+        let (status, bytes) = result.map_err(|e| {
+            self.client.forget_idle();
+            CloudError::from_transport(e)
+        })?;
+        parse_response(status, &bytes)
+    }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/config/derived.rs
+++ b/src/config/derived.rs
@@ -1,6 +1,6 @@
 //! What follows from the settings: defaults that depend on the deployment, and the configuration of the scheduler.
 
-use crate::cloud::MAX_MACHINES_PER_PROVISIONING;
+use crate::cloud_types::MAX_MACHINES_PER_PROVISIONING;
 use crate::config::operator::Settings;
 use crate::config::platform::{CloudLimits, MachineLimits, Objective, Platform, Team};
 use crate::scheduler::{SchedulerConfig, TeamQuota};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod cancellation;
 pub mod clock;
 pub mod cloud;
+pub mod cloud_types;
 pub mod config;
 pub mod controller;
 pub mod election;
