--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,4 +1,7 @@
-//! The clock: every look at the time and every wait goes through here, so that tests can move the time themselves.
+//! The clock: every reading of the time and every wait goes through here, so that a test can supply its own time.
+//!
+//! Outside tests the time is that of the operating system. A test puts a [`TimeSource`] of its own in place of it with
+//! [`use_time_source`], for its thread only.
 
 use crate::units::Micros;
 use async_io::Timer;
@@ -9,53 +12,55 @@
 use std::sync::OnceLock;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// What a process's clock starts with, so that what began before the process did can be expressed.
-const START: Micros = Micros::secs(86_400);
+/// What the monotonic clock shows when the process starts, so that points in time before its start can be expressed.
+const MONOTONIC_START: Micros = Micros::secs(86_400);
 
-/// A time other than the machine's own.
-pub trait Time {
-    /// The steady clock.
+/// A time other than the operating system's: the seam by which tests move the time themselves.
+pub trait TimeSource {
+    /// Returns the time since the source began; it never goes back.
     fn now(&self) -> Micros;
-    /// The time of day, in microseconds.
+    /// Returns the time of day, in microseconds since the Unix epoch.
     fn unix_time(&self) -> u64;
-    /// Waits until the steady clock shows this.
-    fn sleep_until(&self, at: Micros) -> Pin<Box<dyn Future<Output = ()>>>;
+    /// Completes once [`TimeSource::now`] has reached `deadline`.
+    fn sleep_until(&self, deadline: Micros) -> Pin<Box<dyn Future<Output = ()>>>;
 }
 
 thread_local! {
-    static OTHER: RefCell<Option<Rc<dyn Time>>> = const { RefCell::new(None) };
+    /// What this thread uses in place of the operating system's time.
+    static TIME_SOURCE: RefCell<Option<Rc<dyn TimeSource>>> = const { RefCell::new(None) };
 }
 
-/// Lets this thread live by another time.
-pub fn use_time_source(time: Option<Rc<dyn Time>>) {
-    OTHER.set(time);
+/// Makes this thread use another time; `None` is the operating system's.
+pub fn use_time_source(source: Option<Rc<dyn TimeSource>>) {
+    TIME_SOURCE.set(source);
 }
 
-fn other() -> Option<Rc<dyn Time>> {
-    OTHER.with_borrow(Clone::clone)
+fn substitute() -> Option<Rc<dyn TimeSource>> {
+    TIME_SOURCE.with_borrow(Clone::clone)
 }
 
-/// A clock of whole microseconds that only goes forward, the same for the whole process.
+/// The clock of this process, in whole microseconds.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Clock;
 
 impl Clock {
-    /// Now, on this process's own steady clock.
+    /// Returns the monotonic time. It is the same on all threads, and means nothing to other processes.
     pub fn now(self) -> Micros {
-        static STARTED: OnceLock<Instant> = OnceLock::new();
-        match other() {
-            Some(time) => START + time.now(),
+        static STARTED_AT: OnceLock<Instant> = OnceLock::new();
+        let since_start = match substitute() {
+            Some(source) => source.now(),
             None => {
-                let started = STARTED.get_or_init(Instant::now);
-                START + Micros(started.elapsed().as_micros() as u64)
+                let started_at = STARTED_AT.get_or_init(Instant::now);
+                Micros(started_at.elapsed().as_micros() as u64)
             }
-        }
+        };
+        MONOTONIC_START + since_start
     }
 
-    /// The time of day, in microseconds.
+    /// Returns the time of day, in microseconds since the Unix epoch.
     pub fn unix_time(self) -> u64 {
-        match other() {
-            Some(time) => time.unix_time(),
+        match substitute() {
+            Some(source) => source.unix_time(),
             None => SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .map_or(0, |d| d.as_micros() as u64),
@@ -63,12 +68,12 @@
     }
 }
 
-/// Waits.
-pub async fn sleep(time: Micros) {
-    match other() {
-        Some(other) => other.sleep_until(other.now() + time).await,
+/// Waits for at least this long.
+pub async fn sleep(duration: Micros) {
+    match substitute() {
+        Some(source) => source.sleep_until(source.now() + duration).await,
         None => {
-            Timer::after(time.into()).await;
+            Timer::after(duration.into()).await;
         }
     }
 }
--- a/tests/support/sim.rs
+++ b/tests/support/sim.rs
@@ -2,8 +2,8 @@
 
 use event_listener::Event;
 use futures_lite::FutureExt;
-use ravenhead::clock::{self, Time};
-use ravenhead::net::{self, Accept, Duplex, Network, Stream};
+use ravenhead::clock::{self, TimeSource};
+use ravenhead::net::{self, Acceptor, Duplex, ReadMode, Stream, Transport};
 use ravenhead::units::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -107,7 +107,7 @@
         fastrand::seed(seed);
         SIM.set(Some(made.clone()));
         clock::use_time_source(Some(Rc::new(Handle(Rc::downgrade(&made)))));
-        net::use_network(Some(Rc::new(Handle(Rc::downgrade(&made)))));
+        net::use_transport(Some(Rc::new(Handle(Rc::downgrade(&made)))));
         made
     }
 
@@ -331,7 +331,7 @@
 
 struct Handle(RcWeak<Sim>);
 
-impl Time for Handle {
+impl TimeSource for Handle {
     fn now(&self) -> Micros {
         Micros(self.0.upgrade().map_or(0, |s| s.now()))
     }
@@ -435,7 +435,7 @@
         &self,
         cx: &mut Context<'_>,
         buf: &mut [u8],
-        look: bool,
+        mode: ReadMode,
     ) -> Poll<io::Result<usize>> {
         let sim = sim();
         let mut state = self.input.state.lock().expect("a pipe");
@@ -459,7 +459,7 @@
             Some((_, bytes)) => {
                 let n = bytes.len().min(buf.len());
                 buf[..n].copy_from_slice(&bytes[..n]);
-                if !look {
+                if mode == ReadMode::Consume {
                     bytes.drain(..n);
                     if bytes.is_empty() {
                         state.chunks.pop_front();
@@ -557,13 +557,13 @@
     }
 }
 
-impl Accept for Entrance {
+impl Acceptor for Entrance {
     fn accept(&self) -> Pin<Box<dyn Future<Output = io::Result<Stream>> + '_>> {
         Box::pin(async { Ok(self.next().await.1) })
     }
 }
 
-impl Network for Handle {
+impl Transport for Handle {
     fn connect(&self, to: SocketAddr) -> Pin<Box<dyn Future<Output = io::Result<Stream>>>> {
         let sim = self.0.upgrade().expect("a simulation");
         let from = sim.current.get();
@@ -596,14 +596,14 @@
                 input: back,
                 output: there,
             };
-            let far = Stream::Other(Arc::new(far));
+            let far = Stream::Substitute(Arc::new(far));
             door.waiting.borrow_mut().push_back((from, far));
             door.knock.notify(usize::MAX);
-            Ok(Stream::Other(Arc::new(near)))
+            Ok(Stream::Substitute(Arc::new(near)))
         })
     }
 
-    fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Accept>> {
+    fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Acceptor>> {
         Ok(Box::new(Entrance::open(at)))
     }
 }
