--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -95,7 +95,7 @@
             return;
         }
         // Nothing is moved while a controller is missed; but one lost ping does not undo the wait for room to spare.
-        if self.failure_detector.steady_since.is_none() {
+        if !self.failure_detector.is_stable() {
             return;
         }
         let most = 1 + self.consolidation.replicas / REPLICAS_PER_CONSOLIDATION;
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -64,7 +64,7 @@
     pub fn plan_fleet(&mut self, now: Micros, unix_time: u64) -> FleetPlan {
         self.unix_time = unix_time;
         self.mark_unreachable(now);
-        self.failure_detector.shed = self.redirects_wanted(now);
+        self.plan_redirects(now);
         self.terminate_lost(now);
         self.tell_recovery(now);
         self.overdue_cancels(unix_time);
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -137,7 +137,7 @@
 
     /// Another controller hears these machines though their heartbeats can't get here: they are alive.
     pub fn on_contact(&mut self, node: &str, machines: &[MachineId], now: Micros) {
-        self.failure_detector.told.insert(node.to_owned(), now);
+        self.failure_detector.observe_contacts(node, now);
         for id in machines {
             if let Some(m) = self.machines.get_mut(id) {
                 m.last_contact = now;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -32,6 +32,7 @@
 mod scenarios;
 mod writes;
 
+pub use failure_detection::LossCause;
 pub use fleet::{FleetPlan, Pool, ScaleOutRequest};
 pub use ids::{JobId, MachineId, TaskId};
 pub use job::{Chunk, Job, Placement, StopReason};
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -470,8 +470,9 @@
                         machine_type.price
                     };
                     let there = plan.in_zone.get(zone).copied().unwrap_or(0);
-                    let doubtful = self.is_dark(zone) || self.provisioning_times.is_slow(zone);
-                    let rank = (doubtful, price / places as f64, there);
+                    let is_suspect = self.failure_detector.is_zone_unreachable(zone)
+                        || self.provisioning_times.is_slow(zone);
+                    let rank = (is_suspect, price / places as f64, there);
                     if best.as_ref().is_none_or(|(r, _, _)| rank < *r) {
                         best = Some((rank, pool, room));
                     }
