--- a/src/leader.rs
+++ b/src/leader.rs
@@ -9,7 +9,7 @@
 use crate::election::{self, LeaderLease};
 use crate::http::timeout;
 use crate::kv::{Change, Condition, Urgency};
-use crate::scheduler::{JobId, MachineId, MachineType, Scheduler};
+use crate::scheduler::{EventLevel, JobId, MachineId, MachineType, Scheduler};
 use crate::state_loss;
 use crate::store::{LEADER, MACHINE_TYPES, ProvisioningRecord, View, ViewChange};
 use crate::units::Micros;
@@ -190,12 +190,12 @@
                 return why;
             }
         }
-        let (notes, details) = leading.scheduler.borrow_mut().take_notes();
-        for note in notes {
-            info!("{note}");
-        }
-        for detail in details {
-            debug!("{detail}");
+        let events = leading.scheduler.borrow_mut().take_events();
+        for event in events {
+            match event.level() {
+                EventLevel::Info => info!("{event}"),
+                EventLevel::Debug => debug!("{event}"),
+            }
         }
         leading.completed_cycles.set(leading.started_cycles.get());
         leading.cycle_completed.notify(usize::MAX);
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -1,6 +1,7 @@
 //! Consolidation: services that stand scattered over half-empty machines are moved together, one at a time, so that machines
 //! can go back. The ordinary path gathers load on low ids only as tasks come; services stay where they once were.
 
+use super::events::SchedulerEvent;
 use super::ids::{MachineId, TaskId};
 use super::job::{Job, StopReason};
 use super::job_spec::{JobSpec, Shape};
@@ -112,8 +113,8 @@
             if let Some(m) = self.machines.get_mut(&machine) {
                 m.consolidating = true;
                 m.state = MachineState::Draining;
-                self.notes
-                    .push(format!("event=machine_consolidating machine={machine}"));
+                self.events
+                    .push(SchedulerEvent::MachineConsolidating { machine });
             }
         }
     }
@@ -295,8 +296,10 @@
         self.job_index.note_pending_reservation(&task.job);
         job.placement_mut(task.index)?.stopping = Some(StopReason::Drained);
         self.job_index.note_stopping(task.clone());
-        self.details
-            .push(format!("event=task_moving task={task} from={from}"));
+        self.events.push(SchedulerEvent::TaskMoving {
+            task: task.clone(),
+            from: from.clone(),
+        });
         Some(task)
     }
 }
--- a/src/scheduler/failure_attribution.rs
+++ b/src/scheduler/failure_attribution.rs
@@ -1,6 +1,7 @@
 //! Whose fault failures are: a job that fails everywhere, or a machine that fails everything.
 
 use super::Scheduler;
+use super::events::SchedulerEvent;
 use super::ids::{JobId, MachineId, TaskId};
 use super::job_spec::Shape;
 use super::machine::MachineState;
@@ -37,10 +38,10 @@
                 return;
             }
             job.crash_looping = lasts;
-            self.notes.push(format!(
-                "event=job_crash_looping job={} pause={pause}",
-                task.job
-            ));
+            self.events.push(SchedulerEvent::JobCrashLooping {
+                job: task.job.clone(),
+                pause,
+            });
             let blamed = if lasts {
                 job.failed_on.clone()
             } else {
@@ -62,8 +63,9 @@
         m.failed_jobs.insert(job.clone());
         if m.failed_jobs.len() >= QUARANTINE_AFTER_JOBS && m.state == MachineState::Ready {
             m.state = MachineState::Draining;
-            self.notes
-                .push(format!("event=machine_quarantined machine={machine}"));
+            self.events.push(SchedulerEvent::MachineQuarantined {
+                machine: machine.clone(),
+            });
         }
     }
 
@@ -79,8 +81,9 @@
             && m.state == MachineState::Draining
         {
             m.state = MachineState::Ready;
-            self.notes
-                .push(format!("event=machine_quarantine_lifted machine={machine}"));
+            self.events.push(SchedulerEvent::MachineQuarantineLifted {
+                machine: machine.clone(),
+            });
         }
     }
 
--- a/src/scheduler/failure_detection/loss.rs
+++ b/src/scheduler/failure_detection/loss.rs
@@ -1,7 +1,7 @@
 //! Why machines were lost, and what is remembered and logged of it.
 
 use super::{Machine, MachineId, Micros, Scheduler};
-use crate::scheduler::ids::TaskId;
+use crate::scheduler::events::SchedulerEvent;
 use std::collections::VecDeque;
 use std::fmt;
 
@@ -92,18 +92,16 @@
     ) {
         for some in machines.chunks(MACHINES_PER_LINE) {
             let known = || some.iter().filter_map(|id| self.machines.get(id));
-            let names: Vec<&str> = some.iter().map(|id| id.0.as_str()).collect();
-            let tasks: Vec<String> = known()
-                .flat_map(|m| m.held.keys().map(TaskId::to_string))
-                .collect();
             let quiet = known().map(|m| now.since(m.last_contact)).max();
-            self.notes.push(format!(
-                "event=machine_lost machine={} count={} why={cause} zone={zone} spot={spot} quiet={} tasks=[{}]",
-                names.join(","),
-                names.len(),
-                quiet.unwrap_or_default(),
-                tasks.join(",")
-            ));
+            let event = SchedulerEvent::MachinesLost {
+                machines: some.to_vec(),
+                cause,
+                zone: zone.to_owned(),
+                spot,
+                quiet: quiet.unwrap_or_default(),
+                tasks: known().flat_map(|m| m.held.keys().cloned()).collect(),
+            };
+            self.events.push(event);
         }
     }
 }
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -1,5 +1,6 @@
 //! The fleet: what to provision for tasks that nobody took, and what to terminate.
 
+use super::events::SchedulerEvent;
 use super::ids::{MachineId, TaskId};
 use super::job_spec::{JobSpec, Shape};
 use super::machine::{Machine, MachineState};
@@ -285,9 +286,10 @@
                 && m.state != MachineState::Terminating
             {
                 m.state = MachineState::Terminating;
-                self.notes.push(format!(
-                    "event=machine_terminating machine={id} why=cancelled_task_left job={job}"
-                ));
+                self.events.push(SchedulerEvent::MachineTerminating {
+                    machine: id.clone(),
+                    job: job.clone(),
+                });
             }
         }
         overdue.into_keys().collect()
@@ -333,8 +335,10 @@
         for id in idle {
             if let Some(m) = self.machines.get_mut(&id) {
                 m.state = MachineState::Terminating;
-                self.notes
-                    .push(format!("event=machine_idle machine={id} zone={}", m.zone));
+                self.events.push(SchedulerEvent::MachineIdle {
+                    zone: m.zone.clone(),
+                    machine: id,
+                });
             }
         }
     }
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -1,6 +1,7 @@
 //! What a heartbeat tells of its machine: that it is there, that it hears us, and what became of its tasks.
 
 use super::Scheduler;
+use super::events::SchedulerEvent;
 use super::ids::MachineId;
 use super::machine::MachineState;
 use super::messages::{Heartbeat, TaskStatusIndex};
@@ -24,8 +25,9 @@
             return HeartbeatOutcome::default();
         }
         if !self.machines.contains_key(&r.machine) {
-            self.notes
-                .push(format!("event=machine_unexpected machine={}", r.machine));
+            self.events.push(SchedulerEvent::MachineUnexpected {
+                machine: r.machine.clone(),
+            });
         }
         self.learn_machine(&r.machine, &r.machine_type, &r.zone, r.spot, now);
         let Some(m) = self.machines.get_mut(&r.machine) else {
@@ -63,11 +65,13 @@
             m.images
                 .extend(self.known_images.remove(&r.machine).unwrap_or_default());
             m.written_images = m.image_names();
-            let took = now.since(m.since);
-            self.notes.push(format!(
-                "event=machine_ready machine={} machine_type={} zone={} spot={} after={took}",
-                r.machine, r.machine_type, r.zone, r.spot
-            ));
+            self.events.push(SchedulerEvent::MachineReady {
+                machine: r.machine.clone(),
+                machine_type: r.machine_type.clone(),
+                zone: r.zone.clone(),
+                spot: r.spot,
+                after: now.since(m.since),
+            });
         }
         let noticed = r.notice_s.is_some() && m.notice.is_none();
         m.notice = r.notice_s.map(|s| now + Micros::from_secs_f64(s));
@@ -77,8 +81,9 @@
         let mut changed = self.reconcile_placements(r, &index, now);
         changed |= self.reconcile_unplaced(r, now);
         if noticed {
-            self.notes
-                .push(format!("event=preemption_notice machine={}", r.machine));
+            self.events.push(SchedulerEvent::PreemptionNotice {
+                machine: r.machine.clone(),
+            });
             self.drain_for_notice(&r.machine);
         }
         if let Some(m) = self.machines.get_mut(&r.machine) {
@@ -124,10 +129,10 @@
             m.unacknowledged_heartbeats += 1;
             m.unacknowledged_at = now;
             if m.is_inbound_unreachable() {
-                self.details.push(format!(
-                    "event=heartbeat_unacknowledged machine={} count={}",
-                    r.machine, m.unacknowledged_heartbeats
-                ));
+                self.events.push(SchedulerEvent::HeartbeatUnacknowledged {
+                    machine: r.machine.clone(),
+                    count: m.unacknowledged_heartbeats,
+                });
             }
         } else if stays || heeds == Some(true) || now.since(m.unacknowledged_at) > window {
             // Its lease would have run out by now if none of our answers had arrived.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -6,6 +6,7 @@
 mod candidates;
 mod commands;
 mod consolidation;
+mod events;
 mod failure_attribution;
 mod failure_detection;
 mod fair_share;
@@ -32,6 +33,7 @@
 mod scenarios;
 mod writes;
 
+pub use events::{EventLevel, SchedulerEvent};
 pub use failure_detection::LossCause;
 pub use fleet::{FleetPlan, Pool, ScaleOutRequest};
 pub use ids::{JobId, MachineId, TaskId};
@@ -145,8 +147,8 @@
     failure_detector: failure_detection::FailureDetector,
     recovery: Option<recovery::Recovery>,
     rebuild: Option<rebuild::Rebuild>,
-    notes: Vec<String>,
-    details: Vec<String>,
+    /// What is to be logged, as it happened.
+    events: Vec<SchedulerEvent>,
     /// Offers made in the last scheduling cycle, for bounding and for tests.
     pub offers_made: usize,
     /// Steps of loops over machines, jobs and tasks so far, for tests that bound the work.
@@ -194,8 +196,7 @@
             failure_detector: failure_detection::FailureDetector::default(),
             recovery: None,
             rebuild: None,
-            notes: Vec::new(),
-            details: Vec::new(),
+            events: Vec::new(),
             offers_made: 0,
             steps: Cell::new(0),
         }
@@ -206,12 +207,11 @@
         self.token
     }
 
-    /// What happened since the last call, in words for the log: for the people on call, and in detail.
-    pub fn take_notes(&mut self) -> (Vec<String>, Vec<String>) {
-        (
-            std::mem::take(&mut self.notes),
-            std::mem::take(&mut self.details),
-        )
+    /// Returns what happened since the last call and is to be logged: by level, and within one as it happened.
+    pub fn take_events(&mut self) -> Vec<SchedulerEvent> {
+        let mut events = std::mem::take(&mut self.events);
+        events.sort_by_key(SchedulerEvent::level);
+        events
     }
 
     /// Steps of loops over machines, jobs and tasks so far, offers and searches included.
--- a/src/scheduler/offers.rs
+++ b/src/scheduler/offers.rs
@@ -1,6 +1,7 @@
 //! The ordinary path: due jobs are offered to machines in id order, and the first that accepts takes the task.
 
 use super::candidates::{Candidates, SearchOrder};
+use super::events::SchedulerEvent;
 use super::ids::{JobId, MachineId, TaskId};
 use super::job::{Job, Placement, StopReason};
 use super::job_spec::Priority;
@@ -54,11 +55,11 @@
         self.accelerator_headroom = self.compute_accelerator_headroom(&due);
         let sample = self.sample_size(due.len(), machines.len());
         if sample < machines.len() {
-            self.details.push(format!(
-                "event=offers_sampled jobs={} machines={} sample={sample}",
-                due.len(),
-                machines.len()
-            ));
+            self.events.push(SchedulerEvent::OffersSampled {
+                jobs: due.len(),
+                machines: machines.len(),
+                sample,
+            });
         }
         for id in &self.with_pending_reservations(&due) {
             if !due.contains(id) {
@@ -495,10 +496,14 @@
                 stopping: None,
             },
         );
-        self.details.push(format!(
-            "event=task_placed task={id}/{index} machine={machine} attempt={}",
-            chunk.last_attempt
-        ));
+        self.events.push(SchedulerEvent::TaskPlaced {
+            task: TaskId {
+                job: id.clone(),
+                index,
+            },
+            machine: machine.clone(),
+            attempt,
+        });
         self.note_change(id, index / CHUNK_SIZE);
         self.hold(id, index, machine, now);
         self.note_image(machine, &spec);
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,5 +1,6 @@
 //! Making room for what must not wait, by the protocol's rules only and at the least loss of work.
 
+use super::events::SchedulerEvent;
 use super::ids::{JobId, MachineId, TaskId};
 use super::job::{Job, StopReason};
 use super::job_spec::{JobSpec, Priority, Shape};
@@ -122,10 +123,11 @@
         };
         p.stopping = Some(StopReason::Preempted);
         self.job_index.note_stopping(task.clone());
-        self.notes.push(format!(
-            "event=task_preempted task={task} machine={} by={by}",
-            p.machine
-        ));
+        self.events.push(SchedulerEvent::TaskPreempted {
+            task: task.clone(),
+            machine: p.machine.clone(),
+            by: by.clone(),
+        });
     }
 
     /// Machines with tasks that may be stopped for one job or another, or with room coming.
--- a/src/scheduler/provisioning_times.rs
+++ b/src/scheduler/provisioning_times.rs
@@ -1,6 +1,7 @@
 //! How long new machines take to come up: which of those that are late are stuck, and which only as late as all are.
 
 use super::Scheduler;
+use super::events::SchedulerEvent;
 use super::ids::MachineId;
 use super::machine::{Machine, MachineState};
 use super::machine_type::MachineType;
@@ -114,15 +115,20 @@
         }
         for (name, zone) in &zones {
             if zone.is_slow() != self.provisioning_times.is_slow(name) {
-                let event = if zone.is_slow() {
-                    "provisioning_slow"
+                let (name, late, on_time) = (name.clone(), zone.late, zone.on_time);
+                self.events.push(if zone.is_slow() {
+                    SchedulerEvent::ProvisioningSlow {
+                        zone: name,
+                        late,
+                        on_time,
+                    }
                 } else {
-                    "provisioning_normal"
-                };
-                self.notes.push(format!(
-                    "event={event} zone={name} late={} on_time={}",
-                    zone.late, zone.on_time
-                ));
+                    SchedulerEvent::ProvisioningNormal {
+                        zone: name,
+                        late,
+                        on_time,
+                    }
+                });
             }
         }
         self.provisioning_times.zones = zones;
--- a/src/scheduler/rebuild.rs
+++ b/src/scheduler/rebuild.rs
@@ -2,6 +2,7 @@
 //! machine has told what is on it.
 
 use super::Scheduler;
+use super::events::SchedulerEvent;
 use super::ids::TaskId;
 use super::machine::MachineState;
 use super::records::CHUNK_SIZE;
@@ -67,20 +68,20 @@
         };
         if rebuild.listed && unheard == 0 {
             self.rebuild = None;
-            let took = now.since(self.started_at);
-            self.notes.push(format!(
-                "event=rebuild_confirmed token={} machines={} after={took}",
-                self.token,
-                self.machines.len()
-            ));
+            self.events.push(SchedulerEvent::RebuildConfirmed {
+                token: self.token,
+                machines: self.machines.len(),
+                after: now.since(self.started_at),
+            });
             return true;
         }
         if now.since(rebuild.told_at) >= LOG_INTERVAL {
             rebuild.told_at = now;
-            self.notes.push(format!(
-                "event=rebuild_waiting token={} listed={} unheard={unheard}",
-                self.token, rebuild.listed
-            ));
+            self.events.push(SchedulerEvent::RebuildWaiting {
+                token: self.token,
+                listed: rebuild.listed,
+                unheard,
+            });
         }
         false
     }
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -1,6 +1,7 @@
 //! Placements compared with reports, task by task: what each heartbeat proves, and what follows from it.
 
 use super::Scheduler;
+use super::events::SchedulerEvent;
 use super::ids::{MachineId, TaskId};
 use super::job::Placement;
 use super::messages::{ExitCause, Heartbeat, TaskState, TaskStatus, TaskStatusIndex};
@@ -121,8 +122,10 @@
         }
         p.running_since = Some(now);
         self.new_images.insert(machine.clone());
-        self.details
-            .push(format!("event=task_running task={task} machine={machine}"));
+        self.events.push(SchedulerEvent::TaskRunning {
+            task: task.clone(),
+            machine: machine.clone(),
+        });
         self.note_image(machine, &spec);
     }
 
@@ -136,17 +139,21 @@
     ) {
         if cause == Some(ExitCause::Done) {
             self.finish(&task.job, task.index);
-            self.details
-                .push(format!("event=task_finished task={task} machine={machine}"));
+            self.events.push(SchedulerEvent::TaskFinished {
+                task: task.clone(),
+                machine: machine.clone(),
+            });
             if let Some(m) = self.machines.get_mut(machine) {
                 m.failed_jobs.clear();
             }
             self.note_success(&task.job);
             return;
         }
-        self.details.push(format!(
-            "event=task_exited task={task} machine={machine} cause={cause:?}"
-        ));
+        self.events.push(SchedulerEvent::TaskExited {
+            task: task.clone(),
+            machine: machine.clone(),
+            cause,
+        });
         self.release(&task.job, task.index);
         self.requeue(&task.job, now);
         match cause {
@@ -155,9 +162,11 @@
                 if let Some(job) = self.jobs.get_mut(&task.job) {
                     job.next_try = now + REFUSED_BACKOFF;
                 }
-                self.notes.push(format!(
-                    "event=task_start_refused task={task} machine={machine} cause={cause:?}"
-                ));
+                self.events.push(SchedulerEvent::TaskStartRefused {
+                    task: task.clone(),
+                    machine: machine.clone(),
+                    cause,
+                });
             }
             _ => {}
         }
@@ -170,10 +179,10 @@
         let mut changed = false;
         for t in &r.tasks {
             let Some(task) = TaskId::parse(&t.task) else {
-                self.notes.push(format!(
-                    "event=invalid_task machine={} task={:?}",
-                    r.machine, t.task
-                ));
+                self.events.push(SchedulerEvent::InvalidTask {
+                    machine: r.machine.clone(),
+                    task: t.task.clone(),
+                });
                 continue;
             };
             let placed = self.placement(&task);
@@ -263,10 +272,10 @@
         );
         self.note_change(&task.job, task.index / CHUNK_SIZE);
         self.hold(&task.job, task.index, &r.machine, now);
-        self.notes.push(format!(
-            "event=task_adopted task={task} machine={}",
-            r.machine
-        ));
+        self.events.push(SchedulerEvent::TaskAdopted {
+            task: task.clone(),
+            machine: r.machine.clone(),
+        });
     }
 }
 
--- a/src/scheduler/recovery.rs
+++ b/src/scheduler/recovery.rs
@@ -2,10 +2,11 @@
 //!
 //! The comparison itself is part of every heartbeat (`reports`) and rests on `ravenhead-recovery`; this module only counts.
 
+use super::events::SchedulerEvent;
 use super::ids::TaskId;
 use super::{Scheduler, live_tasks};
 use crate::units::Micros;
-use ravenhead_recovery::{Counts, Progress, Resolution, UnrecordedVerdict};
+use ravenhead_recovery::{Progress, Resolution, UnrecordedVerdict};
 
 /// How often it is told how much is still unconfirmed.
 const PROGRESS_EVERY: Micros = Micros::secs(10);
@@ -28,11 +29,10 @@
             placed.map(|(index, _)| (id.0.as_str(), index))
         });
         let progress = Progress::begin(recorded, now.0);
-        self.notes.push(format!(
-            "event=recovery_started token={} recorded={}",
-            self.token,
-            progress.unconfirmed()
-        ));
+        self.events.push(SchedulerEvent::RecoveryStarted {
+            token: self.token,
+            recorded: progress.unconfirmed(),
+        });
         self.recovery = Some(Recovery {
             progress,
             told_at: now,
@@ -59,35 +59,20 @@
             return;
         };
         if let Some(summary) = recovery.progress.take_summary(now.0) {
-            self.notes.push(format!(
-                "event=recovery_completed token={} recorded={} after={} {}",
-                self.token,
-                summary.recorded,
-                Micros(summary.took),
-                in_words(&summary.counts)
-            ));
+            self.events.push(SchedulerEvent::RecoveryCompleted {
+                token: self.token,
+                recorded: summary.recorded,
+                after: Micros(summary.took),
+                counts: summary.counts,
+            });
             self.recovery = None;
         } else if now.since(recovery.told_at) >= PROGRESS_EVERY {
             recovery.told_at = now;
-            self.notes.push(format!(
-                "event=recovery_progress token={} unconfirmed={} {}",
-                self.token,
-                recovery.progress.unconfirmed(),
-                in_words(&recovery.progress.counts())
-            ));
+            self.events.push(SchedulerEvent::RecoveryProgress {
+                token: self.token,
+                unconfirmed: recovery.progress.unconfirmed(),
+                counts: recovery.progress.counts(),
+            });
         }
     }
 }
-
-fn in_words(counts: &Counts) -> String {
-    format!(
-        "agreed={} ended={} gone={} machine_returned={} adopted={} finished_unwritten={} stopped={}",
-        counts.agreed,
-        counts.ended,
-        counts.gone,
-        counts.machine_returned,
-        counts.adopted,
-        counts.finished_unwritten,
-        counts.stopped
-    )
-}
--- a/src/scheduler/scenarios/mod.rs
+++ b/src/scheduler/scenarios/mod.rs
@@ -345,6 +345,13 @@
         }
     }
 
+    /// The lines of the log since the last call, those in detail left out.
+    fn info_lines(&mut self) -> Vec<String> {
+        let events = self.s.take_events().into_iter();
+        let info = events.filter(|e| e.level() == EventLevel::Info);
+        info.map(|e| e.to_string()).collect()
+    }
+
     fn running(&self) -> usize {
         self.workers.values().map(Worker::running).sum()
     }
--- a/src/scheduler/scenarios/queue_order.rs
+++ b/src/scheduler/scenarios/queue_order.rs
@@ -238,13 +238,13 @@
     assert_eq!(t.running(), 4_000);
     assert_eq!(t.s.plan_fleet(t.now, 0).terminate, vec![]);
     // A tenth of them dies: every one is named, in few lines.
-    t.s.take_notes();
+    t.s.take_events();
     t.wait(1);
     t.beat_together(200);
     t.wait(20);
     t.beat_together(200);
     assert_eq!(t.s.plan_fleet(t.now, 0).terminate.len(), 200);
-    let (notes, _) = t.s.take_notes();
+    let notes = t.info_lines();
     let vanished = notes.iter().filter(|n| n.contains("machine_lost"));
     let named: usize = vanished.clone().map(|n| n.matches("m-").count()).sum();
     assert_eq!((vanished.count(), named), (8, 200));
--- a/src/scheduler/scenarios/recovery.rs
+++ b/src/scheduler/scenarios/recovery.rs
@@ -209,7 +209,7 @@
     }
     assert!(rented > 0, "nothing comes");
     assert_eq!(t.s.machines.values().filter(|m| !m.lost).count(), 0);
-    let (notes, _) = t.s.take_notes();
+    let notes = t.info_lines();
     assert!(
         notes.iter().any(|n| n.contains("why=lost")),
         "they are dropped: {notes:?}"
@@ -269,7 +269,7 @@
     t.take_over(TOKEN + 1);
     let told = |t: &mut Scenario| {
         t.s.plan_fleet(t.now, 0);
-        let (notes, _) = t.s.take_notes();
+        let notes = t.info_lines();
         let about = notes.into_iter().filter(|n| n.contains("=recovery_"));
         about.collect::<Vec<String>>().join("\n")
     };
