--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -16,9 +16,9 @@
 enum Kind {
     Any,
     Spot,
-    WithFreeCard,
-    SpotWithFreeCard,
-    UsesCards,
+    WithFreeAccelerator,
+    SpotWithFreeAccelerator,
+    UsesAccelerators,
 }
 
 const KINDS: usize = 5;
@@ -27,23 +27,23 @@
     const ALL: [Kind; KINDS] = [
         Kind::Any,
         Kind::Spot,
-        Kind::WithFreeCard,
-        Kind::SpotWithFreeCard,
-        Kind::UsesCards,
+        Kind::WithFreeAccelerator,
+        Kind::SpotWithFreeAccelerator,
+        Kind::UsesAccelerators,
     ];
 
     /// The kind that a pass asks for, for a task of this size.
     fn of(need: &Resources, pass: &Pass) -> Kind {
         match (
-            pass.beside_cards,
+            pass.accelerators_in_use,
             need.accelerators > 0,
             pass.spot == Some(true),
         ) {
-            (true, _, _) => Kind::UsesCards,
+            (true, _, _) => Kind::UsesAccelerators,
             (false, false, false) => Kind::Any,
             (false, false, true) => Kind::Spot,
-            (false, true, false) => Kind::WithFreeCard,
-            (false, true, true) => Kind::SpotWithFreeCard,
+            (false, true, false) => Kind::WithFreeAccelerator,
+            (false, true, true) => Kind::SpotWithFreeAccelerator,
         }
     }
 }
@@ -83,9 +83,9 @@
         if need.accelerators > 0 || !self.uses_accelerators() {
             return self.free.holds(need);
         }
-        let free_cards = Resources::new(0.0, 1.0, 0.0).accelerators.max(1);
+        let accelerator_unit = Resources::new(0.0, 1.0, 0.0).accelerators.max(1);
         let kept =
-            accelerator_headroom.times((self.free.accelerators / free_cards).max(0) as usize);
+            accelerator_headroom.times((self.free.accelerators / accelerator_unit).max(0) as usize);
         (self.free - kept).holds(need)
     }
 
@@ -94,9 +94,9 @@
         let is_of_kind = match kind {
             Kind::Any => true,
             Kind::Spot => self.spot,
-            Kind::WithFreeCard => self.free.accelerators > 0,
-            Kind::SpotWithFreeCard => self.spot && self.free.accelerators > 0,
-            Kind::UsesCards => self.uses_accelerators(),
+            Kind::WithFreeAccelerator => self.free.accelerators > 0,
+            Kind::SpotWithFreeAccelerator => self.spot && self.free.accelerators > 0,
+            Kind::UsesAccelerators => self.uses_accelerators(),
         };
         if !is_of_kind || self.tasks >= MAX_TASKS_PER_MACHINE {
             return Index::ABSENT_KEY;
@@ -130,7 +130,7 @@
         }
     }
 
-    fn note_room(&mut self, machines: &[Candidate], i: usize) {
+    fn update_index(&mut self, machines: &[Candidate], i: usize) {
         let has_image = &self.has_image;
         self.index.set(i, |kind| {
             ImageIndex::amounts(has_image, machines, i, Kind::ALL[kind])
@@ -209,36 +209,36 @@
     /// Room of a candidate is spoken for.
     pub(super) fn take(&mut self, i: usize, need: &Resources) {
         self.machines[i].free -= *need;
-        self.note_room(i);
+        self.update_index(i);
     }
 
     /// Room of a candidate, which a placement had taken, is free again.
     pub(super) fn take_back(&mut self, i: usize, need: &Resources) {
         self.machines[i].free += *need;
         self.machines[i].tasks -= 1;
-        self.note_room(i);
+        self.update_index(i);
     }
 
-    fn note_room(&mut self, i: usize) {
+    fn update_index(&mut self, i: usize) {
         let candidate = &self.machines[i];
         self.index.set(i, |kind| candidate.amounts(Kind::ALL[kind]));
         for image in self.by_image.values_mut() {
             if image.has_image[i] {
-                image.note_room(&self.machines, i);
+                image.update_index(&self.machines, i);
             }
         }
     }
 
     /// A candidate gets an image.
-    pub(super) fn note_image(&mut self, i: usize, image: &str) {
+    pub(super) fn record_image(&mut self, i: usize, image: &str) {
         if let Some(known) = self.by_image.get_mut(image) {
             known.has_image[i] = true;
-            known.note_room(&self.machines, i);
+            known.update_index(&self.machines, i);
         }
     }
 
     /// Looks up who has an image, once a scheduling cycle.
-    pub(super) fn look_up_image(&mut self, image: &str, machines: &BTreeMap<MachineId, Machine>) {
+    pub(super) fn index_image(&mut self, image: &str, machines: &BTreeMap<MachineId, Machine>) {
         if self.by_image.contains_key(image) {
             return;
         }
--- a/src/scheduler/commands.rs
+++ b/src/scheduler/commands.rs
@@ -58,10 +58,10 @@
                 slack_s: 0.0,
             });
         }
-        let held: Vec<TaskId> = m.held.keys().cloned().collect();
+        let reserved: Vec<TaskId> = m.reserved.keys().cloned().collect();
         let mut starts = Vec::new();
         let mut unsent = Vec::new();
-        for task in held {
+        for task in reserved {
             let Some(job) = self.jobs.get_mut(&task.job) else {
                 continue;
             };
@@ -74,7 +74,7 @@
             if cancelled || p.stopping.is_some() {
                 if never_sent {
                     unsent.push(task);
-                } else if cancelled || p.seen != Some(TaskState::Saving) {
+                } else if cancelled || p.reported_state != Some(TaskState::Saving) {
                     // What a cancelled task would save is of no use to anybody.
                     asked.push((task.clone(), p.attempt, ExpectedEffect::Stop));
                     commands.push(AgentCommand::Stop {
@@ -108,7 +108,7 @@
     /// Whether the machine has placements whose starts wait only for being written.
     pub fn awaits_write(&self, machine: &MachineId) -> bool {
         self.machines.get(machine).is_some_and(|m| {
-            m.held.keys().any(|task| {
+            m.reserved.keys().any(|task| {
                 self.jobs
                     .get(&task.job)
                     .and_then(|j| j.placement(task.index))
@@ -122,7 +122,7 @@
         let Some(m) = self.machines.get(machine) else {
             return;
         };
-        for task in m.held.keys() {
+        for task in m.reserved.keys() {
             let Some(job) = self.jobs.get_mut(&task.job) else {
                 continue;
             };
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -14,7 +14,7 @@
 use std::collections::HashMap;
 
 /// Room must have been to spare for so long before a machine is consolidated.
-const SPARE_FOR: Micros = Micros::secs(30);
+const MIN_SPARE_PERIOD: Micros = Micros::secs(30);
 /// Time between two moves of few replicas, so that no short while sees many of them down.
 const BETWEEN_MOVES: Micros = Micros::secs(30);
 /// A move takes a replica down for a second or two: of so many replicas one may move each second.
@@ -22,9 +22,9 @@
 /// Of so many replicas one machine more may be consolidated at the same time.
 const REPLICAS_PER_CONSOLIDATION: usize = 20;
 /// A moved task is at its new place within this.
-const ARRIVES_WITHIN: Micros = Micros::secs(5);
+const MOVE_TIMEOUT: Micros = Micros::secs(5);
 /// Targets looked at in one plan.
-const LOOKS: usize = 20_000;
+const MAX_TARGETS_EXAMINED: usize = 20_000;
 /// After its stop a task is told as gone within half a second, and its start is written in far less.
 const HANDOVER: Micros = Micros::millis(600);
 
@@ -49,8 +49,8 @@
 /// Machines with free room by the images that they have, and what is promised of it.
 struct Targets<'a> {
     by_image: HashMap<&'a str, Vec<(&'a MachineId, &'a Machine)>>,
-    promised: HashMap<&'a MachineId, Resources>,
-    looks: usize,
+    reserved: HashMap<&'a MachineId, Resources>,
+    remaining: usize,
 }
 
 impl Scheduler {
@@ -71,24 +71,24 @@
             .filter(|(_, m)| m.consolidating)
             .map(|(id, _)| id.clone())
             .collect();
-        let mut under_way = 0;
-        let stuck: Vec<bool> = if consolidating.is_empty() {
+        let mut in_progress = 0;
+        let blocked: Vec<bool> = if consolidating.is_empty() {
             Vec::new()
         } else {
             let mut targets = self.targets();
-            let looks = consolidating
+            let remaining = consolidating
                 .iter()
-                .map(|id| self.is_stuck(id, &mut targets));
-            looks.collect()
+                .map(|id| self.is_blocked(id, &mut targets));
+            remaining.collect()
         };
-        for (id, stuck) in consolidating.iter().zip(stuck) {
+        for (id, blocked) in consolidating.iter().zip(blocked) {
             let Some(m) = self.machines.get(id) else {
                 continue;
             };
-            if (waiting && !m.is_empty()) || stuck || m.state != MachineState::Draining {
-                self.let_go(id);
+            if (waiting && !m.is_empty()) || blocked || m.state != MachineState::Draining {
+                self.cancel_consolidation(id);
             } else {
-                under_way += 1;
+                in_progress += 1;
             }
         }
         if waiting {
@@ -99,17 +99,17 @@
         if !self.failure_detector.is_stable() {
             return;
         }
-        let most = 1 + self.consolidation.replicas / REPLICAS_PER_CONSOLIDATION;
-        if under_way >= most {
+        let max_machines = 1 + self.consolidation.replicas / REPLICAS_PER_CONSOLIDATION;
+        if in_progress >= max_machines {
             return;
         }
         let since = *self.consolidation.spare_since.get_or_insert(now);
-        if now.since(since) < SPARE_FOR
+        if now.since(since) < MIN_SPARE_PERIOD
             || now.since(self.consolidation.moved_at) < self.consolidation.between_moves()
         {
             return;
         }
-        for machine in self.machines_to_consolidate(reserve, most - under_way) {
+        for machine in self.machines_to_consolidate(reserve, max_machines - in_progress) {
             if let Some(m) = self.machines.get_mut(&machine) {
                 m.consolidating = true;
                 m.state = MachineState::Draining;
@@ -120,15 +120,15 @@
     }
 
     /// Whether nothing that a machine still holds can be moved any more.
-    fn is_stuck(&self, id: &MachineId, targets: &mut Targets<'_>) -> bool {
-        let held = self.machines.get(id).map(|m| m.held.keys());
-        let mut held = held.into_iter().flatten().peekable();
+    fn is_blocked(&self, id: &MachineId, targets: &mut Targets<'_>) -> bool {
+        let reserved = self.machines.get(id).map(|m| m.reserved.keys());
+        let mut reserved = reserved.into_iter().flatten().peekable();
         let stopping = |t: &TaskId| self.is_stopping(t);
-        held.peek().is_some()
-            && !held.any(|t| stopping(t) || self.find_target(id, t, targets).is_some())
+        reserved.peek().is_some()
+            && !reserved.any(|t| stopping(t) || self.find_target(id, t, targets).is_some())
     }
 
-    fn let_go(&mut self, id: &MachineId) {
+    fn cancel_consolidation(&mut self, id: &MachineId) {
         if let Some(m) = self.machines.get_mut(id) {
             m.consolidating = false;
             if m.state == MachineState::Draining {
@@ -139,7 +139,11 @@
 
     /// The machines with the fewest services, the highest ids first among equals, if all that they hold are services
     /// that run and would find room elsewhere, the reserve untouched.
-    fn machines_to_consolidate(&self, reserve: Option<&Reserve>, most: usize) -> Vec<MachineId> {
+    fn machines_to_consolidate(
+        &self,
+        reserve: Option<&Reserve>,
+        max_machines: usize,
+    ) -> Vec<MachineId> {
         let mut by_load: Vec<(&MachineId, &Machine)> = self
             .machines
             .iter()
@@ -148,16 +152,16 @@
                 m.state == MachineState::Ready && !m.is_empty() && m.unexpected_tasks.is_empty()
             })
             .collect();
-        by_load.sort_by_key(|(_, m)| m.held.len());
+        by_load.sort_by_key(|(_, m)| m.reserved.len());
         let mut targets = self.targets();
         let mut chosen: Vec<MachineId> = Vec::new();
         // What is left after the reserve; counted once, as services are much of one size.
         let mut spare: Option<usize> = None;
         for (id, m) in by_load {
-            if chosen.len() >= most || targets.looks == 0 {
+            if chosen.len() >= max_machines || targets.remaining == 0 {
                 break;
             }
-            let first = m.held.keys().next();
+            let first = m.reserved.keys().next();
             let Some(spec) = first.and_then(|t| spec_of(&self.jobs, &t.job)) else {
                 continue;
             };
@@ -166,25 +170,25 @@
                 self.open_places(&spec).saturating_sub(keep)
             });
             let own = m.free().count_of(&spec.need()).min(1_000);
-            let needed = m.held.len() + own;
-            if left < needed || targets.promised.contains_key(id) {
+            let needed = m.reserved.len() + own;
+            if left < needed || targets.reserved.contains_key(id) {
                 continue;
             }
             let mut found = Vec::new();
-            for task in m.held.keys() {
+            for task in m.reserved.keys() {
                 let Some((target, need)) = self.find_target(id, task, &mut targets) else {
                     break;
                 };
-                *targets.promised.entry(target).or_default() += need;
+                *targets.reserved.entry(target).or_default() += need;
                 found.push((target, need));
             }
-            if found.len() == m.held.len() {
+            if found.len() == m.reserved.len() {
                 spare = Some(left - needed);
                 chosen.push(id.clone());
                 continue;
             }
             for (target, need) in found {
-                if let Some(room) = targets.promised.get_mut(target) {
+                if let Some(room) = targets.reserved.get_mut(target) {
                     *room -= need;
                 }
             }
@@ -212,8 +216,8 @@
         }
         Targets {
             by_image,
-            promised: HashMap::new(),
-            looks: LOOKS,
+            reserved: HashMap::new(),
+            remaining: MAX_TARGETS_EXAMINED,
         }
     }
 
@@ -228,9 +232,9 @@
         let left = self.machines.get(from)?.zone.as_str();
         let need = job.spec.need();
         for (id, m) in targets.by_image.get(job.spec.image.as_str())? {
-            targets.looks = targets.looks.checked_sub(1)?;
-            let promised = targets.promised.get(id).copied().unwrap_or_default();
-            if *id != from && self.would_take(job, id, m, &(need + promised), left) {
+            targets.remaining = targets.remaining.checked_sub(1)?;
+            let reserved = targets.reserved.get(id).copied().unwrap_or_default();
+            if *id != from && self.would_take(job, id, m, &(need + reserved), left) {
                 return Some((*id, need));
             }
         }
@@ -241,7 +245,8 @@
     fn movable(&self, task: &TaskId) -> Option<&Job> {
         let job = self.jobs.get(&task.job)?;
         let p = job.placement(task.index)?;
-        let runs = p.seen == Some(TaskState::Running) && p.stopping.is_none() && p.committed;
+        let runs =
+            p.reported_state == Some(TaskState::Running) && p.stopping.is_none() && p.committed;
         (job.spec.shape == Shape::Service && runs && !job.ending).then_some(job)
     }
 
@@ -271,7 +276,7 @@
         {
             return None;
         }
-        let task = m.held.keys().next()?.clone();
+        let task = m.reserved.keys().next()?.clone();
         let job = self.movable(&task)?;
         let need = job.spec.need();
         let earliest = self.config.report.scaled(3, 4);
@@ -291,11 +296,11 @@
         self.consolidation.moved_at = now;
         let job = self.jobs.get_mut(&task.job)?;
         // The place is spoken for until the task has had time to come.
-        job.moving_until = now + ARRIVES_WITHIN;
+        job.moving_until = now + MOVE_TIMEOUT;
         job.reservations.push((target, job.moving_until));
-        self.job_index.note_pending_reservation(&task.job);
+        self.job_index.add_pending_reservation(&task.job);
         job.placement_mut(task.index)?.stopping = Some(StopReason::Drained);
-        self.job_index.note_stopping(task.clone());
+        self.job_index.add_stopping(task.clone());
         self.events.push(SchedulerEvent::TaskMoving {
             task: task.clone(),
             from: from.clone(),
--- a/src/scheduler/failure_attribution.rs
+++ b/src/scheduler/failure_attribution.rs
@@ -33,21 +33,21 @@
             let pause = job.pause();
             job.next_try = now + pause;
             // A service shows no success, and a gang can't be tried one task at a time: their failures are judged anew.
-            let lasts = job.spec.shape == Shape::Array;
+            let is_persistent = job.spec.shape == Shape::Array;
             if job.crash_looping {
                 return;
             }
-            job.crash_looping = lasts;
+            job.crash_looping = is_persistent;
             self.events.push(SchedulerEvent::JobCrashLooping {
                 job: task.job.clone(),
                 pause,
             });
-            let blamed = if lasts {
+            let attributed = if is_persistent {
                 job.failed_on.clone()
             } else {
                 std::mem::take(&mut job.failed_on)
             };
-            for m in blamed {
+            for m in attributed {
                 self.absolve(&m, &task.job);
             }
             return;
@@ -74,9 +74,9 @@
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
-        let was_sick = m.failed_jobs.len() >= QUARANTINE_AFTER_JOBS;
+        let was_quarantined = m.failed_jobs.len() >= QUARANTINE_AFTER_JOBS;
         m.failed_jobs.remove(job);
-        if was_sick
+        if was_quarantined
             && m.failed_jobs.len() < QUARANTINE_AFTER_JOBS
             && m.state == MachineState::Draining
         {
@@ -90,7 +90,7 @@
     /// A task of the job completed: it is not crash-looping, so that the machines where it failed are.
     ///
     /// Guards against taking a good job that met only faulty machines for broken, and them for good.
-    pub(super) fn note_success(&mut self, id: &JobId) {
+    pub(super) fn on_task_success(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
--- a/src/scheduler/failure_detection/loss.rs
+++ b/src/scheduler/failure_detection/loss.rs
@@ -99,7 +99,7 @@
                 zone: zone.to_owned(),
                 spot,
                 quiet: quiet.unwrap_or_default(),
-                tasks: known().flat_map(|m| m.held.keys().cloned()).collect(),
+                tasks: known().flat_map(|m| m.reserved.keys().cloned()).collect(),
             };
             self.events.push(event);
         }
--- a/src/scheduler/failure_detection/mod.rs
+++ b/src/scheduler/failure_detection/mod.rs
@@ -146,7 +146,7 @@
         for m in self.machines.values_mut() {
             if m.is_reachable && now.since(m.reported_at) > timeout {
                 m.is_reachable = false;
-                stranded.extend(m.held.keys().cloned());
+                stranded.extend(m.reserved.keys().cloned());
             }
         }
         for task in stranded {
@@ -164,11 +164,11 @@
         self.count_steps(self.machines.len());
         self.update_provisioning_times(now);
         let mut failed = self.failed_by_list_or_provisioning(now);
-        let silent = self
-            .failure_detector
-            .detect_failures(&mut self.machines, &self.config, now);
+        let timed_out =
+            self.failure_detector
+                .detect_failures(&mut self.machines, &self.config, now);
         failed.extend(
-            silent
+            timed_out
                 .into_iter()
                 .map(|id| (id, LossCause::HeartbeatTimeout)),
         );
--- a/src/scheduler/failure_detection/suspicion.rs
+++ b/src/scheduler/failure_detection/suspicion.rs
@@ -42,11 +42,11 @@
 ) -> Vec<MachineId> {
     let grace = GracePeriods::new(detector, timeouts, now);
     let suspects = grace.suspects(machines);
-    let silence = Silence::new(detector, machines, &suspects);
+    let tally = SuspectTally::new(detector, machines, &suspects);
     let has_failed = |(id, m): &(&MachineId, &Machine)| {
         m.state != MachineState::Terminating
             && suspects.contains(id)
-            && (silence.is_explained_by_failures(m, detector, now)
+            && (tally.is_explained_by_failures(m, detector, now)
                 || m.notice.is_some_and(|t| t < now)
                 || grace.quiet(m) > timeouts.lease_expiry.max(timeouts.two_reconnects))
     };
@@ -144,31 +144,31 @@
 }
 
 /// Suspected machines of each zone and of all.
-struct Silence<'a> {
+struct SuspectTally<'a> {
     by_zone: BTreeMap<&'a str, SuspectCount>,
     total: SuspectCount,
 }
 
-impl<'a> Silence<'a> {
+impl<'a> SuspectTally<'a> {
     fn new(
         detector: &'a FailureDetector,
         machines: &'a Machines,
         suspects: &BTreeSet<&MachineId>,
-    ) -> Silence<'a> {
+    ) -> SuspectTally<'a> {
         let counted = machines.iter().filter(|(_, m)| m.is_counted());
         let counted = counted.map(|(id, m)| (m.zone.as_str(), m.spot, suspects.contains(id)));
         let failed = detector.recent_failures.iter();
         let failed = failed.map(|(zone, spot)| (zone, spot, true));
-        let mut silence = Silence {
+        let mut tally = SuspectTally {
             by_zone: BTreeMap::new(),
             total: SuspectCount::default(),
         };
         for (zone, spot, suspected) in counted.chain(failed) {
-            let count = silence.by_zone.entry(zone).or_default();
+            let count = tally.by_zone.entry(zone).or_default();
             count.add(spot, suspected);
-            silence.total.add(spot, suspected);
+            tally.total.add(spot, suspected);
         }
-        silence
+        tally
     }
 
     /// Whether a suspect has failed rather than been cut off: few of its kind are suspected, or it is one of a wave of
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -12,16 +12,16 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// A job that waits so long without a task placed is kept room for.
-const LONG: Micros = Micros::secs(30);
+const STARVED_AFTER: Micros = Micros::secs(30);
 /// For so long smaller work of a team at its limit is held back; then what blocks it will not end soon.
 const TEAM_HOLD_LIMIT: Micros = Micros::secs(120);
 /// Of so many machines one may be kept for a job.
 const MACHINES_PER_RESERVATION: usize = 50;
 
 /// How often it is looked for whom to keep what: scheduling cycles may come far more often than a job's turn.
-const LOOK_EVERY: Micros = Micros::millis(200);
+const RESERVATION_INTERVAL: Micros = Micros::millis(200);
 /// About so many jobs, and the first ones always, look for a machine to be kept in one scheduling cycle.
-const SEARCHES: usize = 32;
+const SEARCHES_PER_CYCLE: usize = 32;
 
 /// What is kept for jobs that wait long.
 #[derive(Debug, Default)]
@@ -31,18 +31,18 @@
     /// Teams whose later jobs are held back for one that waits for room within the limit.
     teams: BTreeMap<String, JobId>,
     /// When this was last looked at.
-    looked_at: Micros,
+    updated_at: Micros,
 }
 
 impl Scheduler {
     /// Looks anew at what is kept, and for whom.
     pub(super) fn reserve_for_long_waiting(&mut self, now: Micros) {
-        if now.since(self.fair_share.looked_at) < LOOK_EVERY {
+        if now.since(self.fair_share.updated_at) < RESERVATION_INTERVAL {
             return;
         }
         let waits = |j: &Job| {
-            let since = j.stuck_since?;
-            (j.waiting() > 0 && now.since(since) >= LONG).then(|| now.since(since))
+            let since = j.unplaced_since?;
+            (j.waiting() > 0 && now.since(since) >= STARVED_AFTER).then(|| now.since(since))
         };
         self.count_steps(self.job_index.waiting_count());
         let mut long: Vec<(&Job, Micros)> = self
@@ -51,58 +51,58 @@
             .collect();
         if long.is_empty() {
             self.fair_share = FairShare {
-                looked_at: now,
+                updated_at: now,
                 ..FairShare::default()
             };
             return;
         }
-        long.sort_by_key(|(j, _)| (Reverse(j.spec.priority), j.turn(self.unix_time)));
+        long.sort_by_key(|(j, _)| (Reverse(j.spec.priority), j.queue_position(self.unix_time)));
         let mut teams: BTreeMap<String, JobId> = BTreeMap::new();
-        let mut wanting: Vec<JobId> = Vec::new();
+        let mut starved: Vec<JobId> = Vec::new();
         for (job, waited) in long {
             let spec = &job.spec;
             if self.within_limit(&spec.team, &spec.need()) {
-                wanting.push(spec.id.clone());
-            } else if waited < LONG + TEAM_HOLD_LIMIT {
+                starved.push(spec.id.clone());
+            } else if waited < STARVED_AFTER + TEAM_HOLD_LIMIT {
                 teams
                     .entry(spec.team.clone())
                     .or_insert_with(|| spec.id.clone());
             }
         }
         self.fair_share.teams = teams;
-        self.fair_share.looked_at = now;
-        self.fair_share.machines = self.machines_for(wanting);
+        self.fair_share.updated_at = now;
+        self.fair_share.machines = self.machines_for(starved);
     }
 
     /// The machines that are kept for these jobs, the first of which go before the others.
-    fn machines_for(&mut self, wanting: Vec<JobId>) -> BTreeMap<MachineId, JobId> {
+    fn machines_for(&mut self, starved: Vec<JobId>) -> BTreeMap<MachineId, JobId> {
         let mut machines = std::mem::take(&mut self.fair_share.machines);
-        let still_wanting: HashSet<&JobId> = wanting.iter().collect();
+        let starved_jobs: HashSet<&JobId> = starved.iter().collect();
         machines.retain(|id, job| {
             let takes = self.machines.get(id).is_some_and(Machine::takes_offers);
-            takes && still_wanting.contains(job)
+            takes && starved_jobs.contains(job)
         });
         let mut kept: HashMap<JobId, usize> = HashMap::new();
         for job in machines.values() {
             *kept.entry(job.clone()).or_default() += 1;
         }
-        let jobs = wanting.len();
-        let most = self.machines.len() / MACHINES_PER_RESERVATION + 1;
+        let jobs = starved.len();
+        let max_reserved = self.machines.len() / MACHINES_PER_RESERVATION + 1;
         let waiting = self.open_jobs().filter(|j| j.waiting() > 0);
-        let least = waiting.map(|j| j.spec.need()).reduce(|a, b| a.min(&b));
-        for (place, id) in wanting.into_iter().enumerate() {
+        let min_need = waiting.map(|j| j.spec.need()).reduce(|a, b| a.min(&b));
+        for (place, id) in starved.into_iter().enumerate() {
             let Some(spec) = spec_of(&self.jobs, &id) else {
                 continue;
             };
             // Of very many a sample gets its turn.
-            if place >= SEARCHES && self.rng.usize(..jobs) >= SEARCHES {
+            if place >= SEARCHES_PER_CYCLE && self.rng.usize(..jobs) >= SEARCHES_PER_CYCLE {
                 continue;
             }
             // A gang needs as many as it has tasks, another job one for its next task; what needs least of all gets its
             // turn without help.
-            let needed = match least {
+            let needed = match min_need {
                 _ if spec.is_gang() => spec.tasks as usize,
-                Some(least) if least != spec.need() && machines.len() < most => 1,
+                Some(min_need) if min_need != spec.need() && machines.len() < max_reserved => 1,
                 _ => 0,
             };
             if kept.get(&id).copied().unwrap_or(0) < needed
@@ -140,7 +140,7 @@
         };
         self.count_steps(self.machines.len());
         let machines = self.machines.iter().filter(fits);
-        let best = machines.min_by_key(|(_, m)| m.held.len());
+        let best = machines.min_by_key(|(_, m)| m.reserved.len());
         best.map(|(name, _)| name.clone())
     }
 
@@ -169,12 +169,12 @@
     }
 
     /// Notes whether a job that was offered got anything placed.
-    pub(super) fn note_offered(&mut self, id: &JobId, waiting_before: u32, now: Micros) {
+    pub(super) fn record_offer_result(&mut self, id: &JobId, waiting_before: u32, now: Micros) {
         if let Some(job) = self.jobs.get_mut(id) {
             if job.waiting() == 0 || job.waiting() < waiting_before {
-                job.stuck_since = None;
+                job.unplaced_since = None;
             } else {
-                job.stuck_since.get_or_insert(now);
+                job.unplaced_since.get_or_insert(now);
             }
         }
     }
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -67,14 +67,14 @@
         self.mark_unreachable(now);
         self.plan_redirects(now);
         self.terminate_lost(now);
-        self.tell_recovery(now);
+        self.report_recovery(now);
         self.overdue_cancels(unix_time);
         self.observe_demand(now);
         if self.is_rebuilding() {
             // What waits may run already, and what stands empty may be needed.
             return FleetPlan {
                 provision: Vec::new(),
-                terminate: self.returning(),
+                terminate: self.terminating_machines(),
             };
         }
         let reserve = self.reserve(unix_time);
@@ -82,21 +82,21 @@
         self.scale_in_idle(reserve.as_ref(), now);
         FleetPlan {
             provision: self.plan_scale_out(reserve, now),
-            terminate: self.returning(),
+            terminate: self.terminating_machines(),
         }
     }
 
     /// The machines that go back.
-    fn returning(&self) -> Vec<MachineId> {
-        let returning = self
+    fn terminating_machines(&self) -> Vec<MachineId> {
+        let terminating_machines = self
             .machines
             .iter()
             .filter(|(_, m)| m.state == MachineState::Terminating);
-        returning.map(|(id, _)| id.clone()).collect()
+        terminating_machines.map(|(id, _)| id.clone()).collect()
     }
 
     /// Takes in what is known of a machine, and moves its tasks' zone counts along.
-    pub(super) fn learn_machine(
+    pub(super) fn observe_machine(
         &mut self,
         id: &MachineId,
         machine_type: &str,
@@ -126,12 +126,12 @@
         if before == zone {
             return;
         }
-        for task in m.held.keys() {
+        for task in m.reserved.keys() {
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                if let Some(n) = job.live_in.get_mut(&before) {
+                if let Some(n) = job.live_by_zone.get_mut(&before) {
                     *n = n.saturating_sub(1);
                 }
-                *job.live_in.entry(zone.to_owned()).or_default() += 1;
+                *job.live_by_zone.entry(zone.to_owned()).or_default() += 1;
             }
         }
     }
@@ -152,7 +152,7 @@
                 continue;
             }
             let known = self.machines.contains_key(id);
-            self.learn_machine(id, &pool.machine_type, &pool.zone, pool.spot, now);
+            self.observe_machine(id, &pool.machine_type, &pool.zone, pool.spot, now);
             if let Some(m) = self.machines.get_mut(id).filter(|_| !known) {
                 m.since = now.since(age);
             }
@@ -195,12 +195,12 @@
     /// The cloud confirmed that these machines are gone, with everything on them.
     pub fn on_terminated(&mut self, machines: &[MachineId], now: Micros) {
         for id in machines {
-            let held: Vec<TaskId> = match self.machines.get(id) {
-                Some(m) => m.held.keys().cloned().collect(),
+            let reserved: Vec<TaskId> = match self.machines.get(id) {
+                Some(m) => m.reserved.keys().cloned().collect(),
                 None => Vec::new(),
             };
             let spot = self.machines.get(id).is_some_and(|m| m.spot);
-            for task in held {
+            for task in reserved {
                 if let Some(job) = self.jobs.get_mut(&task.job) {
                     let p = job.placement(task.index);
                     let ran = p.is_some_and(|p| p.running_since.is_some());
@@ -210,9 +210,9 @@
                 self.release(&task.job, task.index);
                 self.requeue(&task.job, now);
             }
-            let gone = self.machines.remove(id);
+            let removed = self.machines.remove(id);
             let known = self.known_images.remove(id).is_some();
-            if known || gone.is_some_and(|m| !m.written_images.is_empty()) {
+            if known || removed.is_some_and(|m| !m.written_images.is_empty()) {
                 self.new_images.insert(id.clone());
             }
             if self.terminated.insert(id.clone()) {
@@ -230,7 +230,7 @@
     pub fn on_list(&mut self, list: &[Listed], asked_at: Micros) {
         let lag = self.config.list_lag;
         self.fleet.listed = true;
-        self.note_list_of_rebuild(asked_at);
+        self.observe_list_in_rebuild(asked_at);
         let mut listed = HashSet::new();
         for entry in list {
             listed.insert(&entry.machine);
@@ -238,7 +238,7 @@
                 continue;
             }
             let known = self.machines.contains_key(&entry.machine);
-            self.learn_machine(
+            self.observe_machine(
                 &entry.machine,
                 &entry.machine_type,
                 &entry.zone,
@@ -299,7 +299,7 @@
     fn scale_in_idle(&mut self, reserve: Option<&Reserve>, now: Micros) {
         let mut spare = match reserve {
             Some(reserve) => self
-                .free_places(&reserve.like)
+                .free_places(&reserve.template)
                 .saturating_sub(reserve.places),
             None => usize::MAX,
         };
@@ -323,9 +323,9 @@
             if drained {
                 idle.push(id.clone());
             } else if stale {
-                let places = reserve.map_or(0, |r| self.places_on(m, &r.like));
+                let places = reserve.map_or(0, |r| self.places_on(m, &r.template));
                 // Ordinary machines are not kept for what spot ones may serve.
-                let too_expensive = !m.spot && reserve.is_some_and(|r| r.like.spot);
+                let too_expensive = !m.spot && reserve.is_some_and(|r| r.template.spot);
                 if places <= spare || too_expensive {
                     spare = spare.saturating_sub(places);
                     idle.push(id.clone());
@@ -352,7 +352,7 @@
             .machine_types
             .get(&m.machine_type)
             .map_or(Micros::ZERO, MachineType::boot);
-        let kept_ready = self.demand.was_seen_for(m.spot, self.latest);
+        let kept_ready = self.demand.is_recent_for(m.spot, self.latest);
         self.config
             .idle
             .unwrap_or(boot.scaled(if kept_ready { 8 } else { 1 }, 8))
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -29,7 +29,7 @@
                 machine: r.machine.clone(),
             });
         }
-        self.learn_machine(&r.machine, &r.machine_type, &r.zone, r.spot, now);
+        self.observe_machine(&r.machine, &r.machine_type, &r.zone, r.spot, now);
         let Some(m) = self.machines.get_mut(&r.machine) else {
             return HeartbeatOutcome::default();
         };
@@ -122,10 +122,10 @@
         let behind = r.token < self.token;
         let ended =
             r.agent_epoch > newest.agent_epoch && now.since(m.last_contact) < lease.scaled(1, 2);
-        let heeds = m.acknowledges(index);
+        let acknowledged = m.acknowledges(index);
         // A worker that misses an answer turns to the next controller: one that stays was answered, if not by us.
         let stays = self.config.controllers > 1 && m.via == via;
-        if behind || !stays && (ended || heeds == Some(false)) {
+        if behind || !stays && (ended || acknowledged == Some(false)) {
             m.unacknowledged_heartbeats += 1;
             m.unacknowledged_at = now;
             if m.is_inbound_unreachable() {
@@ -134,7 +134,7 @@
                     count: m.unacknowledged_heartbeats,
                 });
             }
-        } else if stays || heeds == Some(true) || now.since(m.unacknowledged_at) > window {
+        } else if stays || acknowledged == Some(true) || now.since(m.unacknowledged_at) > window {
             // Its lease would have run out by now if none of our answers had arrived.
             m.unacknowledged_heartbeats = 0;
         }
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -13,7 +13,7 @@
 ///
 /// Guards against spare-time work that comes in thousands of long tasks: by its age it would go before all that has a
 /// deadline, which could not be met any more.
-const UNDATED: Micros = Micros::secs(600);
+const DEFAULT_DEADLINE: Micros = Micros::secs(600);
 /// Longest pause for a job that keeps failing.
 const MAX_BACKOFF: Micros = Micros::secs(30);
 
@@ -40,7 +40,7 @@
     /// The heartbeat whose answer carried the start.
     pub sent: Option<HeartbeatPosition>,
     /// Its state in the newest heartbeat.
-    pub seen: Option<TaskState>,
+    pub reported_state: Option<TaskState>,
     /// When it was first seen to run.
     pub running_since: Option<Micros>,
     /// Whether, and why, it is being stopped.
@@ -57,7 +57,7 @@
             } else {
                 Origin::ThisLeader { ordered_at }
             },
-            was_reported: self.seen.is_some(),
+            was_reported: self.reported_state.is_some(),
             is_stopping: self.stopping.is_some(),
             is_wanted,
         }
@@ -112,7 +112,7 @@
                 committed: true,
                 inherited: true,
                 sent: None,
-                seen: None,
+                reported_state: None,
                 running_since: None,
                 stopping: None,
             };
@@ -148,7 +148,7 @@
     /// Tasks that may be on a machine.
     pub live: u32,
     /// Those of them by zone.
-    pub live_in: BTreeMap<String, u32>,
+    pub live_by_zone: BTreeMap<String, u32>,
     /// When its waiting tasks are offered next.
     pub next_try: Micros,
     /// Machines where it failed: they are not offered again.
@@ -164,7 +164,7 @@
     /// Until when a task of it that waits is one that was stopped only to be moved.
     pub moving_until: Micros,
     /// Since when it is offered with nothing of it placed.
-    pub stuck_since: Option<Micros>,
+    pub unplaced_since: Option<Micros>,
 }
 
 impl Job {
@@ -178,7 +178,7 @@
             chunks: BTreeMap::new(),
             done: 0,
             live: 0,
-            live_in: BTreeMap::new(),
+            live_by_zone: BTreeMap::new(),
             next_try: now,
             failed_on: BTreeSet::new(),
             failures: 0,
@@ -186,13 +186,16 @@
             lost_on_spot: false,
             reservations: Vec::new(),
             moving_until: Micros::ZERO,
-            stuck_since: None,
+            unplaced_since: None,
         }
     }
 
     /// When it should be complete, by the time of day; without a deadline so long after it came.
     pub fn due_at(&self) -> u64 {
-        let due = self.spec.due_s.map_or(UNDATED, Micros::from_secs_f64);
+        let due = self
+            .spec
+            .due_s
+            .map_or(DEFAULT_DEADLINE, Micros::from_secs_f64);
         self.at.saturating_add(due.0)
     }
 
@@ -201,7 +204,7 @@
     /// Guards against an overload in which every job is served just too late: one that by its owner's estimate can't be
     /// in time any more counts as due half as late again, and if not even then, at three times its time. It gives way
     /// to what may still be in time, but only so far, so that none waits for ever.
-    pub fn turn(&self, unix_time: u64) -> u64 {
+    pub fn queue_position(&self, unix_time: u64) -> u64 {
         let due = self.due_at();
         let allowed = due - self.at;
         let done_at = unix_time.saturating_add(Micros::from_secs_f64(self.spec.expect_s).0);
@@ -269,16 +272,16 @@
 
     /// The attempt that the next placement of a task of this chunk gets. The tasks of a gang find each other by it, so it
     /// is the same for all that are placed together.
-    pub fn next_attempt(&self, chunk: u32, least: u64) -> u64 {
+    pub fn next_attempt(&self, chunk: u32, min_attempt: u64) -> u64 {
         if !self.spec.is_gang() {
             let last = self.chunks.get(&chunk).map_or(0, |c| c.last_attempt);
-            return (last + 1).max(least);
+            return (last + 1).max(min_attempt);
         }
         let live = self.chunks.values().flat_map(|c| c.live.values());
         let highest = self.chunks.values().map(|c| c.last_attempt).max();
         match live.map(|p| p.attempt).max() {
             Some(attempt) => attempt,
-            None => (highest.unwrap_or(0) + 1).max(least),
+            None => (highest.unwrap_or(0) + 1).max(min_attempt),
         }
     }
 
--- a/src/scheduler/job_index.rs
+++ b/src/scheduler/job_index.rs
@@ -20,7 +20,7 @@
 
 impl JobIndex {
     /// The number of a job's waiting tasks may have changed.
-    pub(super) fn note_waiting(&mut self, job: &Job) {
+    pub(super) fn update_waiting(&mut self, job: &Job) {
         if job.waiting() == 0 {
             self.waiting.remove(&job.spec.id);
         } else if !self.waiting.contains(&job.spec.id) {
@@ -76,7 +76,7 @@
     }
 
     /// Room is being made for a job.
-    pub(super) fn note_pending_reservation(&mut self, id: &JobId) {
+    pub(super) fn add_pending_reservation(&mut self, id: &JobId) {
         self.pending_reservations.insert(id.clone());
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// A task is being stopped.
-    pub(super) fn note_stopping(&mut self, task: TaskId) {
+    pub(super) fn add_stopping(&mut self, task: TaskId) {
         self.stopping.insert(task);
     }
 
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -47,7 +47,7 @@
     /// What placements and unexpected tasks take of it.
     pub used: Resources,
     /// Placed tasks. Changed by [`Machine::reserve_resources`] and [`Machine::release`] only.
-    pub held: BTreeMap<TaskId, Resources>,
+    pub reserved: BTreeMap<TaskId, Resources>,
     /// What they take, by their priority.
     reserved_by_priority: BTreeMap<Priority, Resources>,
     /// Tasks on it that no placement covers, with their attempts.
@@ -131,7 +131,7 @@
             spot: false,
             total: Resources::default(),
             used: Resources::default(),
-            held: BTreeMap::new(),
+            reserved: BTreeMap::new(),
             reserved_by_priority: BTreeMap::new(),
             unexpected_tasks: BTreeMap::new(),
             exited: Vec::new(),
@@ -163,18 +163,18 @@
     pub fn reserve_resources(&mut self, task: TaskId, need: Resources, priority: Priority) {
         self.used += need;
         *self.reserved_by_priority.entry(priority).or_default() += need;
-        self.held.insert(task, need);
+        self.reserved.insert(task, need);
     }
 
     /// A task is off it.
     pub fn release(&mut self, task: &TaskId, need: Resources, priority: Priority) {
-        if self.held.remove(task).is_none() {
+        if self.reserved.remove(task).is_none() {
             return;
         }
         self.used -= need;
-        if let Some(held) = self.reserved_by_priority.get_mut(&priority) {
-            *held -= need;
-            if *held == Resources::default() {
+        if let Some(reserved) = self.reserved_by_priority.get_mut(&priority) {
+            *reserved -= need;
+            if *reserved == Resources::default() {
                 self.reserved_by_priority.remove(&priority);
             }
         }
@@ -205,7 +205,7 @@
     }
 
     /// Notes that an image was used, and what must have made room for it.
-    pub fn note_image(&mut self, image: &str, gb: f64, cache_gb: f64) {
+    pub fn record_image(&mut self, image: &str, gb: f64, cache_gb: f64) {
         self.images.retain(|(name, _)| name != image);
         self.images.push((image.to_owned(), gb));
         let mut sum: f64 = self.images.iter().map(|(_, gb)| gb).sum();
@@ -230,17 +230,17 @@
 
     /// How many tasks its next heartbeat will name: those placed, those that nobody placed, and those not cleared yet.
     pub fn reported_tasks(&self) -> usize {
-        self.held.len() + self.unexpected_tasks.len() + self.exited.len()
+        self.reserved.len() + self.unexpected_tasks.len() + self.exited.len()
     }
 
     /// Whether nothing is on it.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty() && self.unexpected_tasks.is_empty()
+        self.reserved.is_empty() && self.unexpected_tasks.is_empty()
     }
 
     /// Whether its silence would mean something: it is up, or should hold tasks.
     pub fn is_counted(&self) -> bool {
-        self.state == MachineState::Ready || !self.held.is_empty()
+        self.state == MachineState::Ready || !self.reserved.is_empty()
     }
 
     /// Whether it may be offered tasks, room aside.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -262,9 +262,9 @@
         let all_done = job.done == job.spec.tasks;
         self.guarantees.add(&job);
         self.jobs.insert(id.clone(), job);
-        self.note_waiting(&id);
+        self.update_waiting(&id);
         for (index, machine) in placed {
-            self.hold(&id, index, &machine, now);
+            self.reserve_on_machine(&id, index, &machine, now);
         }
         if all_done && end.is_none() {
             self.finished.insert(id.clone());
@@ -282,9 +282,9 @@
         }
         job.end = Some(end);
         job.ending = true;
-        self.guarantees.note_change(&job.spec.team);
+        self.guarantees.mark_stale(&job.spec.team);
         self.finished.remove(id);
-        self.note_waiting(id);
+        self.update_waiting(id);
         self.drop_unwritten(id);
         self.check_terminal(id);
     }
@@ -293,17 +293,17 @@
     pub fn job_is_over(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.ending = true;
-            self.guarantees.note_change(&job.spec.team);
+            self.guarantees.mark_stale(&job.spec.team);
             self.finished.remove(id);
-            self.note_waiting(id);
+            self.update_waiting(id);
             self.drop_unwritten(id);
         }
     }
 
     /// The number of a job's waiting tasks may have changed.
-    fn note_waiting(&mut self, id: &JobId) {
+    fn update_waiting(&mut self, id: &JobId) {
         match self.jobs.get(id) {
-            Some(job) => self.job_index.note_waiting(job),
+            Some(job) => self.job_index.update_waiting(job),
             None => self.job_index.forget(id),
         }
     }
@@ -321,20 +321,20 @@
     }
 
     /// Counts a task in on a machine, whose placement stands in its chunk already.
-    fn hold(&mut self, id: &JobId, index: u32, machine: &MachineId, now: Micros) {
-        let began = self.started_at.max(now);
+    fn reserve_on_machine(&mut self, id: &JobId, index: u32, machine: &MachineId, now: Micros) {
+        let known_since = self.started_at.max(now);
         let m = self
             .machines
             .entry(machine.clone())
-            .or_insert_with(|| Machine::unknown(began));
+            .or_insert_with(|| Machine::unknown(known_since));
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         let need = job.spec.need();
         let priority = job.spec.priority;
         job.live += 1;
-        self.job_index.note_waiting(job);
-        *job.live_in.entry(m.zone.clone()).or_default() += 1;
+        self.job_index.update_waiting(job);
+        *job.live_by_zone.entry(m.zone.clone()).or_default() += 1;
         *self.team_used.entry(job.spec.team.clone()).or_default() += need;
         m.idle_since = None;
         let task = TaskId {
@@ -358,12 +358,12 @@
         let need = job.spec.need();
         let priority = job.spec.priority;
         job.live -= 1;
-        self.job_index.note_waiting(job);
+        self.job_index.update_waiting(job);
         if let Some(used) = self.team_used.get_mut(&job.spec.team) {
             *used -= need;
         }
         if let Some(m) = self.machines.get_mut(&placement.machine) {
-            if let Some(n) = job.live_in.get_mut(&m.zone) {
+            if let Some(n) = job.live_by_zone.get_mut(&m.zone) {
                 *n = n.saturating_sub(1);
             }
             let task = TaskId {
@@ -372,7 +372,7 @@
             };
             m.release(&task, need, priority);
         }
-        self.note_change(id, index / CHUNK_SIZE);
+        self.mark_dirty(id, index / CHUNK_SIZE);
         if placement.stopping == Some(StopReason::Preempted) {
             self.wake_pending_reservations(&placement.machine);
         }
@@ -410,20 +410,20 @@
         chunk.finished |= 1 << (index % CHUNK_SIZE);
         job.done += 1;
         job.failures = 0;
-        self.guarantees.note_change(&job.spec.team);
-        self.job_index.note_waiting(job);
+        self.guarantees.mark_stale(&job.spec.team);
+        self.job_index.update_waiting(job);
         if job.done == job.spec.tasks && !job.ending {
             self.finished.insert(id.clone());
             self.stop_deferring(id);
         }
-        self.note_change(id, index / CHUNK_SIZE);
+        self.mark_dirty(id, index / CHUNK_SIZE);
     }
 
     /// Something changed in a chunk.
     ///
     /// Guards against the chunks of a job of tens of thousands of tasks going before a critical task's, because its name
     /// comes first.
-    fn note_change(&mut self, id: &JobId, number: u32) {
+    fn mark_dirty(&mut self, id: &JobId, number: u32) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -446,13 +446,13 @@
         }
     }
 
-    pub(super) fn note_image(&mut self, machine: &MachineId, spec: &JobSpec) {
+    pub(super) fn record_image(&mut self, machine: &MachineId, spec: &JobSpec) {
         if let Some(m) = self.machines.get_mut(machine) {
             let cache = self
                 .machine_types
                 .get(&m.machine_type)
                 .map_or(f64::INFINITY, |f| f.cache_gb);
-            m.note_image(&spec.image, spec.image_gb, cache);
+            m.record_image(&spec.image, spec.image_gb, cache);
         }
     }
 
--- a/src/scheduler/offers.rs
+++ b/src/scheduler/offers.rs
@@ -33,7 +33,7 @@
     /// One task a machine: what must be fetched anyway is then had by more machines.
     one_each: bool,
     /// Only those that have work with accelerators.
-    pub(super) beside_cards: bool,
+    pub(super) accelerators_in_use: bool,
 }
 
 impl Scheduler {
@@ -51,7 +51,7 @@
         }
         self.reserve_for_long_waiting(now);
         let mut machines = self.candidates(&due);
-        let mut room = PreemptionPass::new(self.coming_room(now));
+        let mut room = PreemptionPass::new(self.incoming_resources(now));
         self.accelerator_headroom = self.compute_accelerator_headroom(&due);
         let sample = self.sample_size(due.len(), machines.len());
         if sample < machines.len() {
@@ -71,7 +71,7 @@
                 let order = self.order_for(id, &mut machines, sample);
                 self.offer_job(id, &mut machines, &order, &mut room, now);
             }
-            self.note_offered(id, before, now);
+            self.record_offer_result(id, before, now);
             self.delay(id, now);
         }
         self.count_steps(machines.steps());
@@ -111,12 +111,12 @@
         };
         // What takes no accelerators first takes what is left beside those in use.
         if spec.accelerators == 0.0 {
-            let beside_cards = true;
-            let beside = Pass {
-                beside_cards,
+            let accelerators_in_use = true;
+            let headroom = Pass {
+                accelerators_in_use,
                 ..any
             };
-            self.offer(id, machines, order, beside, now);
+            self.offer(id, machines, order, headroom, now);
         }
         // Ordinary machines decline what may use spot ones, which are far cheaper, while these have room.
         if may_use_spot {
@@ -146,7 +146,7 @@
             .filter(|id| !due.contains(*id));
         let concerned = due.iter().chain(pending_reservations);
         let mut all: Vec<&Job> = concerned.filter_map(|id| self.jobs.get(id)).collect();
-        self.sort_by_turn(&mut all);
+        self.sort_by_queue_position(&mut all);
         all.into_iter().map(|j| j.spec.id.clone()).collect()
     }
 
@@ -170,14 +170,14 @@
     /// Guards against thousands of tasks without accelerators that use up the processors beside free ones: those would
     /// be paid for, and of no use to anybody.
     fn compute_accelerator_headroom(&self, due: &BTreeSet<JobId>) -> BTreeMap<Priority, Resources> {
-        let mut beside: BTreeMap<Priority, Resources> = BTreeMap::new();
+        let mut headroom: BTreeMap<Priority, Resources> = BTreeMap::new();
         let takes_none = |id: &JobId| {
             self.jobs
                 .get(id)
                 .is_some_and(|j| j.spec.accelerators == 0.0)
         };
         if !due.iter().any(takes_none) {
-            return beside;
+            return headroom;
         }
         self.count_steps(self.jobs.len());
         for job in self
@@ -198,13 +198,13 @@
                 Priority::Critical,
             ] {
                 if priority <= spec.priority {
-                    let most = beside.entry(priority).or_default();
-                    most.cores = most.cores.max(one.cores);
-                    most.memory = most.memory.max(one.memory);
+                    let max_need = headroom.entry(priority).or_default();
+                    max_need.cores = max_need.cores.max(one.cores);
+                    max_need.memory = max_need.memory.max(one.memory);
                 }
             }
         }
-        beside
+        headroom
     }
 
     /// Sets the next try of a job with waiting tasks.
@@ -288,16 +288,16 @@
     }
 
     /// Orders all tasks of a job that are on machines to be stopped.
-    fn stop_all(&mut self, id: &JobId, why: StopReason) {
+    fn stop_all(&mut self, id: &JobId, reason: StopReason) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         for (number, chunk) in &mut job.chunks {
             for (i, p) in &mut chunk.live {
-                p.stopping.get_or_insert(why);
+                p.stopping.get_or_insert(reason);
                 let index = number * CHUNK_SIZE + u32::from(*i);
                 let job = id.clone();
-                self.job_index.note_stopping(TaskId { job, index });
+                self.job_index.add_stopping(TaskId { job, index });
             }
         }
     }
@@ -333,13 +333,19 @@
     ///
     /// Guards against urgent work that another team lends room to, in front of what that team is guaranteed: the two
     /// would stop each other's tasks for ever.
-    pub(super) fn sort_by_turn(&self, jobs: &mut [&Job]) {
+    pub(super) fn sort_by_queue_position(&self, jobs: &mut [&Job]) {
         jobs.sort_by_cached_key(|j| {
             let waits = j.spec.priority < Priority::Critical;
             let exceeds_guarantee = !self.guarantees.covers(j);
             let priority = Reverse(j.spec.priority);
-            let turn = j.turn(self.unix_time);
-            (waits, exceeds_guarantee, priority, turn, j.spec.id.clone())
+            let queue_position = j.queue_position(self.unix_time);
+            (
+                waits,
+                exceeds_guarantee,
+                priority,
+                queue_position,
+                j.spec.id.clone(),
+            )
         });
     }
 
@@ -408,7 +414,7 @@
             from = place + 1;
             self.offers_made += 1;
             let machine = machines.get(i).id.clone();
-            if pass.beside_cards && !machines.get(i).uses_accelerators()
+            if pass.accelerators_in_use && !machines.get(i).uses_accelerators()
                 || self.is_reserved_for_another(&machine, id)
             {
                 continue;
@@ -426,7 +432,7 @@
                 }
                 self.place(id, index, &machine, now);
                 machines.place(i, &need);
-                machines.note_image(i, &spec.image);
+                machines.record_image(i, &spec.image);
                 next_task = index + 1;
                 budget -= 1;
                 if pass.one_each {
@@ -457,7 +463,7 @@
         if job.moving_until > now && !cleared.is_empty() {
             return SearchOrder::Some(cleared);
         }
-        machines.look_up_image(&job.spec.image, &self.machines);
+        machines.index_image(&job.spec.image, &self.machines);
         machines.with_image(order, &job.spec.image, cleared)
     }
 
@@ -491,7 +497,7 @@
                 committed: false,
                 inherited: false,
                 sent: None,
-                seen: None,
+                reported_state: None,
                 running_since: None,
                 stopping: None,
             },
@@ -504,9 +510,9 @@
             machine: machine.clone(),
             attempt,
         });
-        self.note_change(id, index / CHUNK_SIZE);
-        self.hold(id, index, machine, now);
-        self.note_image(machine, &spec);
+        self.mark_dirty(id, index / CHUNK_SIZE);
+        self.reserve_on_machine(id, index, machine, now);
+        self.record_image(machine, &spec);
     }
 }
 
@@ -515,8 +521,8 @@
 ///
 /// Tasks on machines whose zone is not known yet count against every zone.
 pub(super) fn zone_takes(job: &Job, zone: &str, planned: u32, leaving: Option<&str>) -> bool {
-    let unknown = job.live_in.get("").copied().unwrap_or(0);
-    let mut here = job.live_in.get(zone).copied().unwrap_or(0);
+    let unknown = job.live_by_zone.get("").copied().unwrap_or(0);
+    let mut here = job.live_by_zone.get(zone).copied().unwrap_or(0);
     let mut all = job.live;
     if let Some(left) = leaving {
         all -= 1;
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -19,15 +19,15 @@
 /// What a scheduling cycle knows of the room that can be made.
 pub(super) struct PreemptionPass {
     /// Room that will be free by machine: what is being stopped there, less what was promised of it.
-    coming: BTreeMap<MachineId, Resources>,
+    incoming: BTreeMap<MachineId, Resources>,
     /// Machines that hold something that may be stopped for some job; looked up when first needed.
     stoppable: Option<Vec<MachineId>>,
 }
 
 impl PreemptionPass {
-    pub(super) fn new(coming: BTreeMap<MachineId, Resources>) -> PreemptionPass {
+    pub(super) fn new(incoming: BTreeMap<MachineId, Resources>) -> PreemptionPass {
         PreemptionPass {
-            coming,
+            incoming,
             stoppable: None,
         }
     }
@@ -35,15 +35,15 @@
 
 impl Scheduler {
     /// Room that will be free by machine: what is being stopped there, less what was promised of it.
-    pub(super) fn coming_room(&mut self, now: Micros) -> BTreeMap<MachineId, Resources> {
-        let mut coming: BTreeMap<MachineId, Resources> = BTreeMap::new();
+    pub(super) fn incoming_resources(&mut self, now: Micros) -> BTreeMap<MachineId, Resources> {
+        let mut incoming: BTreeMap<MachineId, Resources> = BTreeMap::new();
         for task in self.job_index.stopping() {
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
             let placement = job.placement(task.index);
             if let Some(p) = placement.filter(|p| p.stopping.is_some()) {
-                *coming.entry(p.machine.clone()).or_default() += job.spec.need();
+                *incoming.entry(p.machine.clone()).or_default() += job.spec.need();
             }
         }
         for id in self.job_index.pending_reservations() {
@@ -52,11 +52,11 @@
             };
             job.reservations.retain(|(_, until)| *until > now);
             for (machine, _) in &job.reservations {
-                *coming.entry(machine.clone()).or_default() -= job.spec.need();
+                *incoming.entry(machine.clone()).or_default() -= job.spec.need();
             }
         }
         self.job_index.prune(&self.jobs);
-        coming
+        incoming
     }
 
     /// Stops tasks where that really makes room for a job that must not wait; with `with_image` only on machines
@@ -76,11 +76,11 @@
         }
         let mut planned = spec.need().times(job.reservations.len());
         if open > 0 && room.stoppable.is_none() {
-            room.stoppable = Some(self.stoppable(&room.coming));
+            room.stoppable = Some(self.stoppable(&room.incoming));
         }
-        let most =
+        let max_preemptions =
             MAX_PREEMPTIONS_PER_CYCLE.max(self.machines.len() / MACHINES_EXAMINED_PER_PREEMPTION);
-        for _ in 0..open.min(most) {
+        for _ in 0..open.min(max_preemptions) {
             planned += spec.need();
             if !self.within_limit(&spec.team, &planned) {
                 return;
@@ -88,13 +88,13 @@
             let Some((machine, victims)) = self.room_for(id, &spec, with_image, room, now) else {
                 return;
             };
-            let coming = room.coming.entry(machine.clone()).or_default();
+            let incoming = room.incoming.entry(machine.clone()).or_default();
             for task in &victims {
                 if let Some(v) = self.jobs.get(&task.job) {
-                    *coming += v.spec.need();
+                    *incoming += v.spec.need();
                 }
             }
-            *coming -= spec.need();
+            *incoming -= spec.need();
             let save = victims
                 .iter()
                 .filter_map(|t| spec_of(&self.jobs, &t.job))
@@ -108,7 +108,7 @@
             }
             if let Some(job) = self.jobs.get_mut(id) {
                 job.reservations.push((machine, until));
-                self.job_index.note_pending_reservation(id);
+                self.job_index.add_pending_reservation(id);
             }
         }
     }
@@ -122,7 +122,7 @@
             return;
         };
         p.stopping = Some(StopReason::Preempted);
-        self.job_index.note_stopping(task.clone());
+        self.job_index.add_stopping(task.clone());
         self.events.push(SchedulerEvent::TaskPreempted {
             task: task.clone(),
             machine: p.machine.clone(),
@@ -131,11 +131,11 @@
     }
 
     /// Machines with tasks that may be stopped for one job or another, or with room coming.
-    fn stoppable(&self, coming: &BTreeMap<MachineId, Resources>) -> Vec<MachineId> {
+    fn stoppable(&self, incoming: &BTreeMap<MachineId, Resources>) -> Vec<MachineId> {
         self.count_steps(self.machines.len());
         let worth = |(id, m): &(&MachineId, &Machine)| {
             m.takes_offers()
-                && (m.has_reserved_below(Priority::Critical) || coming.contains_key(*id))
+                && (m.has_reserved_below(Priority::Critical) || incoming.contains_key(*id))
         };
         let machines = self.machines.iter().filter(worth);
         machines.map(|(id, _)| id.clone()).collect()
@@ -151,7 +151,7 @@
         now: Micros,
     ) -> Option<(MachineId, Vec<TaskId>)> {
         let need = spec.need();
-        let coming = &room.coming;
+        let incoming = &room.incoming;
         let mut best: Option<(Micros, MachineId, Vec<TaskId>)> = None;
         for machine in room.stoppable.iter().flatten() {
             if self.offers_made >= self.config.max_offers_per_cycle.saturating_mul(2) {
@@ -168,9 +168,9 @@
             {
                 continue;
             }
-            let mut free = m.free() + coming.get(machine).copied().unwrap_or_default();
+            let mut free = m.free() + incoming.get(machine).copied().unwrap_or_default();
             let mut victims: Vec<(Micros, &TaskId)> = m
-                .held
+                .reserved
                 .keys()
                 .filter_map(|t| Some((self.loss_of(t, id, with_image, now)?, t)))
                 .collect();
@@ -181,7 +181,7 @@
                 if free.holds(&need) {
                     break;
                 }
-                free += m.held[task];
+                free += m.reserved[task];
                 loss = loss + lost;
                 stopped.push(task.clone());
             }
--- a/src/scheduler/provisioning_times.rs
+++ b/src/scheduler/provisioning_times.rs
@@ -9,19 +9,19 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// In tenths of the usual boot time: nearly all machines are up by then.
-const USUAL: u64 = 17;
+const ON_TIME_TENTHS: u64 = 17;
 /// How long a late machine is waited for where many are late, before any of them came up.
-const DOUBTED: u64 = 30;
+const MIN_SLOW_TIMEOUT_TENTHS: u64 = 30;
 /// The longest that any machine is waited for.
-const LONGEST: u64 = 60;
+const MAX_TIMEOUT_TENTHS: u64 = 60;
 /// A machine stops counting as room to come so much before it is given up.
-const REPLACED_BEFORE: u64 = 1;
+const REPLACEMENT_LEAD_TENTHS: u64 = 1;
 /// Where many are late and none of them came up, others are provisioned in their place after this.
-const REPLACED: u64 = 24;
+const SLOW_REPLACEMENT_TENTHS: u64 = 24;
 /// So many late machines are no sign of anything.
-const FEW: u64 = 2;
+const TOLERATED_LATE: u64 = 2;
 /// How long the boots of a zone tell something of the next.
-const TELLS_FOR: Micros = Micros::secs(300);
+const OBSERVATION_WINDOW: Micros = Micros::secs(300);
 
 /// How the machines of a zone come up.
 #[derive(Debug, Clone, Copy, Default)]
@@ -34,15 +34,15 @@
 
 impl Zone {
     fn is_slow(&self) -> bool {
-        self.late > FEW.max((self.late + self.on_time) / 4)
+        self.late > TOLERATED_LATE.max((self.late + self.on_time) / 4)
     }
 
     /// When a machine is stuck, in tenths of the usual boot time.
     fn timeout_tenths(&self) -> u64 {
         if self.is_slow() {
-            (self.slowest * 3 / 2).clamp(DOUBTED, LONGEST)
+            (self.slowest * 3 / 2).clamp(MIN_SLOW_TIMEOUT_TENTHS, MAX_TIMEOUT_TENTHS)
         } else {
-            USUAL
+            ON_TIME_TENTHS
         }
     }
 }
@@ -51,7 +51,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ProvisioningTimes {
     /// Machines that came up, or were given up: when, where, and after how many tenths of the usual time, if at all.
-    seen: VecDeque<(Micros, String, Option<u64>)>,
+    observations: VecDeque<(Micros, String, Option<u64>)>,
     zones: BTreeMap<String, Zone>,
 }
 
@@ -83,8 +83,8 @@
             return;
         };
         let took = up.then(|| self.provisioning_tenths(m, now));
-        let seen = (now, m.zone.clone(), took);
-        self.provisioning_times.seen.push_back(seen);
+        let observations = (now, m.zone.clone(), took);
+        self.provisioning_times.observations.push_back(observations);
     }
 
     /// Looks anew at how machines come up, zone by zone.
@@ -92,15 +92,20 @@
     /// Guards against giving up, and renting again, every new machine of a time in which all take several times as long:
     /// none of them would ever come up.
     pub(super) fn update_provisioning_times(&mut self, now: Micros) {
-        let old = |(at, _, _): &(Micros, String, Option<u64>)| now.since(*at) > TELLS_FOR;
-        while self.provisioning_times.seen.front().is_some_and(old) {
-            self.provisioning_times.seen.pop_front();
+        let old = |(at, _, _): &(Micros, String, Option<u64>)| now.since(*at) > OBSERVATION_WINDOW;
+        while self
+            .provisioning_times
+            .observations
+            .front()
+            .is_some_and(old)
+        {
+            self.provisioning_times.observations.pop_front();
         }
         let mut zones: BTreeMap<String, Zone> = BTreeMap::new();
-        for (_, name, took) in &self.provisioning_times.seen {
+        for (_, name, took) in &self.provisioning_times.observations {
             let zone = zones.entry(name.clone()).or_default();
             match took {
-                Some(tenths) if *tenths <= USUAL => zone.on_time += 1,
+                Some(tenths) if *tenths <= ON_TIME_TENTHS => zone.on_time += 1,
                 Some(tenths) => {
                     zone.late += 1;
                     zone.slowest = zone.slowest.max(*tenths);
@@ -143,9 +148,9 @@
             .map(MachineType::boot);
         let quiet = boot.unwrap_or(Micros::secs(60)).scaled(1, 2);
         m.state == MachineState::Provisioning
-            && m.held.is_empty()
+            && m.reserved.is_empty()
             && now.since(m.last_contact) > quiet
-            && self.provisioning_tenths(m, now) > USUAL
+            && self.provisioning_tenths(m, now) > ON_TIME_TENTHS
     }
 
     /// Whether a machine will not come up any more, as far as its zone's others tell.
@@ -170,9 +175,9 @@
             .copied()
             .unwrap_or_default();
         let limit = if zone.is_slow() && zone.slowest == 0 {
-            REPLACED
+            SLOW_REPLACEMENT_TENTHS
         } else {
-            zone.timeout_tenths() - REPLACED_BEFORE
+            zone.timeout_tenths() - REPLACEMENT_LEAD_TENTHS
         };
         self.provisioning_tenths(m, now) < limit
     }
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -58,8 +58,8 @@
         };
         let used = self.team_used.get(team).copied().unwrap_or_default() + *planned;
         let more = |limit: Option<i64>, used: i64, need: i64| match limit {
-            Some(most) if need > 0 => ((most - used) / need).max(0) as usize,
-            Some(most) if used > most => 0,
+            Some(limit) if need > 0 => ((limit - used) / need).max(0) as usize,
+            Some(limit) if used > limit => 0,
             _ => usize::MAX,
         };
         more(share.limit[0], used.cores, need.cores).min(more(
@@ -91,7 +91,7 @@
     pub(super) fn add(&mut self, job: &Job) {
         let team = self.by_age.entry(job.spec.team.clone()).or_default();
         team.insert((job.at, job.spec.id.clone()));
-        self.note_change(&job.spec.team);
+        self.mark_stale(&job.spec.team);
     }
 
     /// A job is gone.
@@ -99,11 +99,11 @@
         if let Some(team) = self.by_age.get_mut(&job.spec.team) {
             team.remove(&(job.at, job.spec.id.clone()));
         }
-        self.note_change(&job.spec.team);
+        self.mark_stale(&job.spec.team);
     }
 
     /// A job of the team was ended, or part of it finished.
-    pub(super) fn note_change(&mut self, team: &str) {
+    pub(super) fn mark_stale(&mut self, team: &str) {
         if !self.stale.contains(team) {
             self.stale.insert(team.to_owned());
         }
--- a/src/scheduler/rebuild.rs
+++ b/src/scheduler/rebuild.rs
@@ -19,7 +19,7 @@
 pub(super) struct Rebuild {
     /// The list of machines was asked for so late that it has every machine that was provisioned before the loss.
     listed: bool,
-    told_at: Micros,
+    logged_at: Micros,
 }
 
 impl Scheduler {
@@ -28,7 +28,7 @@
         self.raise_attempts(number);
         self.rebuild = Some(Rebuild {
             listed: false,
-            told_at: now,
+            logged_at: now,
         });
     }
 
@@ -43,7 +43,7 @@
     }
 
     /// The machine list was read, and was asked for at this time.
-    pub(super) fn note_list_of_rebuild(&mut self, asked_at: Micros) {
+    pub(super) fn observe_list_in_rebuild(&mut self, asked_at: Micros) {
         let lag = self.config.list_lag.scaled(2, 1) + Micros::secs(1);
         let is_late = asked_at.since(self.started_at) > lag;
         if let Some(rebuild) = &mut self.rebuild {
@@ -75,8 +75,8 @@
             });
             return true;
         }
-        if now.since(rebuild.told_at) >= LOG_INTERVAL {
-            rebuild.told_at = now;
+        if now.since(rebuild.logged_at) >= LOG_INTERVAL {
+            rebuild.logged_at = now;
             self.events.push(SchedulerEvent::RebuildWaiting {
                 token: self.token,
                 listed: rebuild.listed,
@@ -87,7 +87,7 @@
     }
 
     /// An attempt of a task was seen that no record shows: later ones must be higher.
-    pub(super) fn note_attempt(&mut self, task: &TaskId, attempt: u64) {
+    pub(super) fn raise_last_attempt(&mut self, task: &TaskId, attempt: u64) {
         if self.rebuild.is_none() {
             return;
         }
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -27,15 +27,15 @@
         let Some(m) = self.machines.get(&r.machine) else {
             return false;
         };
-        let held: Vec<TaskId> = m.held.keys().cloned().collect();
+        let reserved: Vec<TaskId> = m.reserved.keys().cloned().collect();
         let context = HeartbeatContext {
             position: r.position(),
             shows_token: r.token == self.token,
             answers_arrive: !m.is_suspect(),
         };
-        self.count_steps(held.len() + r.tasks.len());
+        self.count_steps(reserved.len() + r.tasks.len());
         let mut changed = false;
-        for task in held {
+        for task in reserved {
             let Some(p) = self.placement(&task) else {
                 continue;
             };
@@ -64,7 +64,7 @@
         let recorded = p.as_recorded(is_wanted);
         let verdict = reconcile_recorded(&recorded, found.map(TaskStatus::outcome), context);
         if let Some(t) = found {
-            p.seen = Some(t.state);
+            p.reported_state = Some(t.state);
             if context.shows_token {
                 // The worker has seen this leader's token, so no command of an earlier leader can follow.
                 p.inherited = false;
@@ -77,7 +77,7 @@
         match verdict {
             RecordedVerdict::Agrees => {
                 if found.is_some_and(|t| t.state == TaskState::Running) {
-                    self.note_running(task, machine, now);
+                    self.record_running(task, machine, now);
                 }
                 false
             }
@@ -109,7 +109,7 @@
     }
 
     /// A placed task is reported as running, perhaps for the first time.
-    fn note_running(&mut self, task: &TaskId, machine: &MachineId, now: Micros) {
+    fn record_running(&mut self, task: &TaskId, machine: &MachineId, now: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -126,7 +126,7 @@
             task: task.clone(),
             machine: machine.clone(),
         });
-        self.note_image(machine, &spec);
+        self.record_image(machine, &spec);
     }
 
     /// A placed task ended.
@@ -146,7 +146,7 @@
             if let Some(m) = self.machines.get_mut(machine) {
                 m.failed_jobs.clear();
             }
-            self.note_success(&task.job);
+            self.on_task_success(&task.job);
             return;
         }
         self.events.push(SchedulerEvent::TaskExited {
@@ -189,7 +189,7 @@
             if placed.is_some_and(|p| p.machine == r.machine && p.attempt == t.attempt) {
                 continue;
             }
-            self.note_attempt(&task, t.attempt);
+            self.raise_last_attempt(&task, t.attempt);
             let unrecorded = self.as_unrecorded(&task, t.attempt);
             let verdict = reconcile_unrecorded(&unrecorded, t.outcome());
             self.count_unrecorded(verdict);
@@ -265,13 +265,13 @@
                 committed: false,
                 inherited: r.token != self.token,
                 sent: Some(r.position()),
-                seen: Some(t.state),
+                reported_state: Some(t.state),
                 running_since: None,
                 stopping: None,
             },
         );
-        self.note_change(&task.job, task.index / CHUNK_SIZE);
-        self.hold(&task.job, task.index, &r.machine, now);
+        self.mark_dirty(&task.job, task.index / CHUNK_SIZE);
+        self.reserve_on_machine(&task.job, task.index, &r.machine, now);
         self.events.push(SchedulerEvent::TaskAdopted {
             task: task.clone(),
             machine: r.machine.clone(),
--- a/src/scheduler/recovery.rs
+++ b/src/scheduler/recovery.rs
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub(super) struct Recovery {
     progress: Progress,
-    told_at: Micros,
+    logged_at: Micros,
 }
 
 impl Scheduler {
@@ -35,7 +35,7 @@
         });
         self.recovery = Some(Recovery {
             progress,
-            told_at: now,
+            logged_at: now,
         });
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Tells how far the recovery is; once it has ended, what came of it.
-    pub(super) fn tell_recovery(&mut self, now: Micros) {
+    pub(super) fn report_recovery(&mut self, now: Micros) {
         let Some(recovery) = &mut self.recovery else {
             return;
         };
@@ -66,8 +66,8 @@
                 counts: summary.counts,
             });
             self.recovery = None;
-        } else if now.since(recovery.told_at) >= PROGRESS_EVERY {
-            recovery.told_at = now;
+        } else if now.since(recovery.logged_at) >= PROGRESS_EVERY {
+            recovery.logged_at = now;
             self.events.push(SchedulerEvent::RecoveryProgress {
                 token: self.token,
                 unconfirmed: recovery.progress.unconfirmed(),
--- a/src/scheduler/reserve.rs
+++ b/src/scheduler/reserve.rs
@@ -15,7 +15,7 @@
 /// The share of the samples, in percent, whose demand finds room.
 const COVERED_PERCENT: usize = 75;
 /// How far back arrivals are counted to size the reserve, and for how long machines are kept after such work.
-const ARRIVALS_OVER: Micros = Micros::secs(120);
+const ARRIVAL_WINDOW: Micros = Micros::secs(120);
 /// The reserve of services is at most this part of what runs of them.
 const RESERVE_DIVISOR: u32 = 8;
 /// The reserve of services may always be as large as this.
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct Reserve {
     /// A job that stands for those that are to find room.
-    pub(super) like: Rc<JobSpec>,
+    pub(super) template: Rc<JobSpec>,
     /// For how many of its tasks.
     pub(super) places: usize,
 }
@@ -43,9 +43,9 @@
 
 impl Demand {
     /// Whether there was such work lately for which machines of this kind are kept.
-    pub(super) fn was_seen_for(&self, spot: bool, now: Micros) -> bool {
-        let seen_at = if spot { self.spot_at } else { self.ordinary_at };
-        seen_at.is_some_and(|at| now.since(at) < ARRIVALS_OVER)
+    pub(super) fn is_recent_for(&self, spot: bool, now: Micros) -> bool {
+        let last_at = if spot { self.spot_at } else { self.ordinary_at };
+        last_at.is_some_and(|at| now.since(at) < ARRIVAL_WINDOW)
     }
 
     fn sample(&mut self, cores: i64, now: Micros) {
@@ -57,7 +57,7 @@
     }
 
     /// What was asked for at most of the recent times.
-    fn usual(&self) -> Option<i64> {
+    fn typical(&self) -> Option<i64> {
         let mut cores: Vec<i64> = self.samples.iter().map(|(_, cores)| *cores).collect();
         cores.sort_unstable();
         cores.get(cores.len() * COVERED_PERCENT / 100).copied()
@@ -73,8 +73,8 @@
         let spare = |due: f64| Micros::from_secs_f64(due - spec.expect_s);
         let starts_in_time = self.config.wait_within.get(&spec.class).copied();
         let ends_in_time = spec.due_s.map(spare);
-        let least = starts_in_time.into_iter().chain(ends_in_time).min();
-        spec.shape == Shape::Array && least.is_some_and(|least| least < boot)
+        let min_slack = starts_in_time.into_iter().chain(ends_in_time).min();
+        spec.shape == Shape::Array && min_slack.is_some_and(|min_slack| min_slack < boot)
     }
 
     /// Notes the latency-sensitive work that is there.
@@ -101,14 +101,14 @@
     fn latency_sensitive_reserve(&self) -> Option<Reserve> {
         let counts = |j: &&Job| !j.ending && self.is_latency_sensitive(&j.spec);
         let jobs = || self.jobs.values().filter(counts);
-        let like = jobs().max_by_key(|j| j.at)?.spec.clone();
-        let usual = self.demand.usual()?;
+        let template = jobs().max_by_key(|j| j.at)?.spec.clone();
+        let typical = self.demand.typical()?;
         let now: i64 = jobs()
             .map(|j| j.spec.need().times(j.live as usize).cores)
             .sum();
-        let places = (usual - now).max(0) / like.need().cores.max(1);
+        let places = (typical - now).max(0) / template.need().cores.max(1);
         Some(Reserve {
-            like,
+            template,
             places: places as usize,
         })
     }
@@ -123,7 +123,7 @@
                 continue;
             }
             running += job.live;
-            if unix_time.saturating_sub(job.at) < ARRIVALS_OVER.0 {
+            if unix_time.saturating_sub(job.at) < ARRIVAL_WINDOW.0 {
                 recent += job.spec.tasks;
             }
             if newest.is_none_or(|n| n.at < job.at) {
@@ -133,19 +133,19 @@
         let Some(newest) = newest else {
             return self.latency_sensitive_reserve();
         };
-        let like = newest.spec.clone();
+        let template = newest.spec.clone();
         if let Some(fixed) = self.config.reserve {
             let places = fixed as usize;
-            return Some(Reserve { like, places });
+            return Some(Reserve { template, places });
         }
         let boot = self.machine_types.values().map(MachineType::boot).min()?;
-        let within = self.config.wait_within.get(&like.class)?;
+        let within = self.config.wait_within.get(&template.class)?;
         if boot < *within {
             return None;
         }
-        let in_a_boot = (u64::from(recent) * boot.0).div_ceil(ARRIVALS_OVER.0);
-        let most = u64::from(running / RESERVE_DIVISOR).max(SMALL_RESERVE);
-        let places = in_a_boot.clamp(1, most) as usize;
-        Some(Reserve { like, places })
+        let in_a_boot = (u64::from(recent) * boot.0).div_ceil(ARRIVAL_WINDOW.0);
+        let max_places = u64::from(running / RESERVE_DIVISOR).max(SMALL_RESERVE);
+        let places = in_a_boot.clamp(1, max_places) as usize;
+        Some(Reserve { template, places })
     }
 }
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -64,7 +64,7 @@
 
 impl Bin {
     /// A machine that is being provisioned, or about to be.
-    fn rented(pool: Pool, room: Resources, new: bool) -> Bin {
+    fn provisioned(pool: Pool, room: Resources, new: bool) -> Bin {
         Bin {
             pool,
             free: room,
@@ -106,7 +106,7 @@
     /// The first bin that may take the next task of the job at hand.
     next: usize,
     /// Machines to be provisioned by it.
-    rented: usize,
+    provisioned: usize,
     /// Machines by zone, those to be provisioned included.
     in_zone: BTreeMap<String, usize>,
 }
@@ -147,11 +147,13 @@
         now: Micros,
     ) -> Vec<ScaleOutRequest> {
         // A new leader first hears what there is.
-        let hears_for = self.config.report.scaled(5, 4) + Micros::secs(1);
-        if now.since(self.started_at) < hears_for && !self.all_have_reported() {
+        let discovery_period = self.config.report.scaled(5, 4) + Micros::secs(1);
+        if now.since(self.started_at) < discovery_period && !self.all_have_reported() {
             return Vec::new();
         }
-        let free = reserve.as_ref().map_or(0, |r| self.free_places(&r.like));
+        let free = reserve
+            .as_ref()
+            .map_or(0, |r| self.free_places(&r.template));
         let ramp = reserve.as_ref().map_or(0, |_| self.ramp_extra());
         let places = reserve.as_ref().map_or(0, |r| r.places);
         let waiting = self.waiting_jobs(now);
@@ -160,11 +162,16 @@
         }
         let mut plan = self.begin_plan(now);
         if let Some(reserve) = &reserve {
-            self.plan_places(&reserve.like, ramp.saturating_sub(free), &mut plan, now);
+            self.plan_places(&reserve.template, ramp.saturating_sub(free), &mut plan, now);
         }
         self.plan_waiting(&waiting, &mut plan, now);
         if let Some(reserve) = &reserve {
-            self.plan_places(&reserve.like, places.saturating_sub(free), &mut plan, now);
+            self.plan_places(
+                &reserve.template,
+                places.saturating_sub(free),
+                &mut plan,
+                now,
+            );
         }
         self.count_steps(plan.index.visited() as usize);
         self.requests(plan)
@@ -258,7 +265,7 @@
 
     /// Whether the machine list was read, and every machine that must be up by it, or by its tasks, has reported.
     fn all_have_reported(&self) -> bool {
-        let is_up = |m: &Machine| m.listed_running || !m.held.is_empty();
+        let is_up = |m: &Machine| m.listed_running || !m.reserved.is_empty();
         let mut machines = self.machines.values();
         self.fleet.listed && machines.all(|m| m.state != MachineState::Provisioning || !is_up(m))
     }
@@ -273,12 +280,12 @@
             .filter(|j| j.open() > 0 && j.next_try <= now + Micros::secs(2))
             .filter(|j| !(j.crash_looping && any_up))
             .collect();
-        self.sort_by_turn(&mut waiting);
+        self.sort_by_queue_position(&mut waiting);
         waiting.into_iter().map(|j| j.spec.id.clone()).collect()
     }
 
     /// Room that comes without renting anything more.
-    fn coming(&self, now: Micros) -> Vec<Bin> {
+    fn incoming_capacity(&self, now: Micros) -> Vec<Bin> {
         let mut bins = Vec::new();
         let offered_within = self.config.retry + self.config.jitter.scaled(2, 1);
         for m in self.machines.values() {
@@ -289,7 +296,7 @@
             // One that reported, but not yet to have heard this leader, does so with its next heartbeat or is not there.
             let reports_soon =
                 m.newest.is_none() || now.since(m.last_contact) < self.config.report.scaled(2, 1);
-            let on_its_way = m.state == MachineState::Provisioning
+            let is_provisioning = m.state == MachineState::Provisioning
                 && reports_soon
                 && m.total != Resources::default()
                 && !m.lost
@@ -298,7 +305,7 @@
             let mut frees = false;
             let mut later = false;
             if m.takes_offers() {
-                for (task, need) in &m.held {
+                for (task, need) in &m.reserved {
                     let stopping = self.is_stopping(task);
                     if stopping || self.ends_within(task, boot.scaled(1, 3), now) {
                         free += *need;
@@ -311,7 +318,7 @@
             let just_up = m.takes_offers()
                 && m.is_empty()
                 && m.idle_since.is_some_and(|t| now.since(t) <= offered_within);
-            if on_its_way || frees || just_up {
+            if is_provisioning || frees || just_up {
                 bins.push(Bin {
                     pool: Pool {
                         machine_type: m.machine_type.clone(),
@@ -330,8 +337,8 @@
                 continue;
             };
             let room = machine_type.resources();
-            let rented = || Bin::rented(request.pool.clone(), room, false);
-            bins.extend(std::iter::repeat_with(rented).take(request.count));
+            let provisioned = || Bin::provisioned(request.pool.clone(), room, false);
+            bins.extend(std::iter::repeat_with(provisioned).take(request.count));
         }
         bins
     }
@@ -366,12 +373,12 @@
                 }
             }
         }
-        let bins = self.coming(now);
+        let bins = self.incoming_capacity(now);
         Plan {
             index: Index::new(bins.len()),
             bins,
             next: 0,
-            rented: 0,
+            provisioned: 0,
             in_zone,
         }
     }
@@ -414,14 +421,14 @@
             }
             plan.next = i + 1;
         }
-        if plan.rented >= self.config.max_scale_out_per_cycle {
+        if plan.provisioned >= self.config.max_scale_out_per_cycle {
             return None;
         }
         let (pool, room) = self.choose_pool(job, plan, now, zone_fits)?;
         let zone = pool.zone.clone();
-        plan.rented += 1;
+        plan.provisioned += 1;
         *plan.in_zone.entry(zone.clone()).or_default() += 1;
-        let bin = Bin::rented(pool, room, true);
+        let bin = Bin::provisioned(pool, room, true);
         let tasks = bin.takes(&need, wanted).max(1);
         let i = plan.add(bin);
         plan.fill(i, &need, tasks);
--- a/src/scheduler/scenarios/commands.rs
+++ b/src/scheduler/scenarios/commands.rs
@@ -130,9 +130,9 @@
     t.s.end_job(&job, aborted(0));
     let half = Micros::secs(30).0;
     assert!(t.s.plan_fleet(t.now, half).terminate.is_empty());
-    let most = Micros::secs(37).0;
+    let overdue_at = Micros::secs(37).0;
     assert_eq!(
-        t.s.plan_fleet(t.now, most).terminate,
+        t.s.plan_fleet(t.now, overdue_at).terminate,
         vec![MachineId("m-1".into())]
     );
 }
@@ -380,10 +380,10 @@
     t.deliver(&report);
     let body = serde_json::to_string(&report).expect("JSON");
     assert!(body.len() < 64 * 1024 / 2, "{}", body.len());
-    let held = t.s.machines[&MachineId("m-1".into())].reported_tasks();
+    let named = t.s.machines[&MachineId("m-1".into())].reported_tasks();
     assert!(
-        held <= MAX_TASKS_PER_MACHINE,
-        "what is not cleared is reported: {held}"
+        named <= MAX_TASKS_PER_MACHINE,
+        "what is not cleared is reported: {named}"
     );
 }
 
--- a/src/scheduler/scenarios/failure_detection.rs
+++ b/src/scheduler/scenarios/failure_detection.rs
@@ -271,7 +271,7 @@
         let copy = lost.report("m-0");
         assert_eq!(runs(&t.deliver(&copy)), 0);
     }
-    assert!(t.s.machines[&MachineId("m-0".into())].held.is_empty());
+    assert!(t.s.machines[&MachineId("m-0".into())].reserved.is_empty());
     // A finish told again, in a copy and from an earlier agent epoch, counts once; its clear goes out as ever.
     t.beat_all();
     t.workers
--- a/src/scheduler/scenarios/queue_order.rs
+++ b/src/scheduler/scenarios/queue_order.rs
@@ -184,8 +184,8 @@
     t.wait(1);
     let before = t.revision;
     t.s.run_cycle(t.now);
-    let most = 2 * t.s.config.max_offers_per_cycle;
-    assert!(t.s.offers_made <= most, "{} offers", t.s.offers_made);
+    let max_offers = 2 * t.s.config.max_offers_per_cycle;
+    assert!(t.s.offers_made <= max_offers, "{} offers", t.s.offers_made);
     t.commit();
     // Twenty jobs' placements go into one transaction.
     let batches = t.revision - before;
@@ -194,7 +194,7 @@
         t.wait(1);
         t.round();
     }
-    let placed: usize = t.s.machines.values().map(|m| m.held.len()).sum();
+    let placed: usize = t.s.machines.values().map(|m| m.reserved.len()).sum();
     assert_eq!(placed, 4_000, "samples must not miss the machines that fit");
     // Now everything is full and eight hundred tasks wait: nobody is asked, nothing is written.
     t.wait(1);
@@ -217,7 +217,7 @@
     t.s.on_report(&report, "n-1", t.now);
     t.s.run_cycle(t.now);
     assert!(t.s.offers_made <= 2 * 1_600, "{} offers", t.s.offers_made);
-    assert_eq!(t.s.machines[&first].held.len(), 2);
+    assert_eq!(t.s.machines[&first].reserved.len(), 2);
     // What is kept for a placed task.
     let kept: usize = t
         .chunks
@@ -371,8 +371,8 @@
             ..live("j-1")
         });
         t.round();
-        let held = t.s.machines.values().filter(|m| !m.held.is_empty());
-        held.count()
+        let reserved = t.s.machines.values().filter(|m| !m.reserved.is_empty());
+        reserved.count()
     };
     assert_eq!(used(10), 2);
     assert_eq!(used(200), 4);
@@ -392,7 +392,7 @@
     let order = |t: &mut Scenario, at_s: u64| {
         t.s.unix_time = Micros::secs(at_s).0;
         let mut jobs: Vec<&Job> = t.s.jobs.values().collect();
-        t.s.sort_by_turn(&mut jobs);
+        t.s.sort_by_queue_position(&mut jobs);
         let ids = jobs.iter().map(|j| j.spec.id.clone());
         ids.collect::<Vec<_>>()
     };
--- a/src/scheduler/scenarios/recovery.rs
+++ b/src/scheduler/scenarios/recovery.rs
@@ -308,8 +308,8 @@
     let id = t.submit(spec("j-1", 3));
     t.round();
     t.beat_all();
-    let held = |t: &Scenario, name: &str| t.s.machines[&MachineId(name.into())].held.len();
-    assert_eq!((held(&t, "m-1"), held(&t, "m-2")), (2, 1));
+    let reserved = |t: &Scenario, name: &str| t.s.machines[&MachineId(name.into())].reserved.len();
+    assert_eq!((reserved(&t, "m-1"), reserved(&t, "m-2")), (2, 1));
     // The records are from before the first task was lost and placed again on another machine, which runs it.
     let run = |t: &mut Scenario, name: &str, attempt: u64| {
         let worker = t.workers.get_mut(name).expect("a worker");
--- a/src/scheduler/scenarios/scale.rs
+++ b/src/scheduler/scenarios/scale.rs
@@ -3,8 +3,8 @@
 
 use super::*;
 
-const FEW: usize = 500;
-const MANY: usize = 4_000;
+const SMALL_FLEET: usize = 500;
+const LARGE_FLEET: usize = 4_000;
 /// Work that grows with the fleet grows by eight, and by a little more for searches in an index; work that grows with the
 /// square of it would grow by sixty-four.
 const LINEAR: f64 = 8.0 * 1.5;
@@ -17,10 +17,13 @@
 }
 
 /// Asserts that eight times as many machines take no more than that many times the work.
-fn assert_growth(most: f64, measure: impl Fn(usize) -> f64) {
-    let (few, many) = (measure(FEW), measure(MANY));
+fn assert_growth(max_growth: f64, measure: impl Fn(usize) -> f64) {
+    let (few, many) = (measure(SMALL_FLEET), measure(LARGE_FLEET));
     let growth = many / few;
-    assert!(growth <= most, "{few} and {many} steps: {growth:.1} times");
+    assert!(
+        growth <= max_growth,
+        "{few} and {many} steps: {growth:.1} times"
+    );
 }
 
 /// A fleet of empty machines that heartbeat.
@@ -40,7 +43,7 @@
         expect_s: 5_000.0,
         ..spec("j-0", 2 * machines as u32)
     });
-    while t.s.machines.values().any(|m| m.held.len() < 2) {
+    while t.s.machines.values().any(|m| m.reserved.len() < 2) {
         t.wait(1);
         t.round();
     }
@@ -70,7 +73,7 @@
         t.s.config.max_offers_per_cycle = 10_000_000;
         backlog(&mut t, machines / 2);
         let steps = steps(&mut t, |t| t.s.run_cycle(t.now));
-        let placed: usize = t.s.machines.values().map(|m| m.held.len()).sum();
+        let placed: usize = t.s.machines.values().map(|m| m.reserved.len()).sum();
         assert_eq!(placed, machines / 2 * 3, "every task has its place");
         steps
     });
@@ -87,7 +90,7 @@
 
 #[test]
 fn a_round_in_which_nothing_is_due_takes_no_work() {
-    let mut t = full_fleet(MANY);
+    let mut t = full_fleet(LARGE_FLEET);
     assert!(steps(&mut t, |t| t.s.run_cycle(t.now)) < 10.0);
 }
 
@@ -169,11 +172,14 @@
 // Guards against a bound of 512 tasks a job and round that keeps short tasks from ever filling a large fleet.
 #[test]
 fn one_job_may_place_a_task_for_each_machine_in_a_round() {
-    let mut t = empty_fleet(MANY);
-    t.submit(spec("j-1", 3 * MANY as u32));
+    let mut t = empty_fleet(LARGE_FLEET);
+    t.submit(spec("j-1", 3 * LARGE_FLEET as u32));
     t.round();
     let placed = t.s.jobs[&JobId("j-1".into())].live as usize;
-    assert!((MANY..=2 * MANY).contains(&placed), "{placed} tasks");
+    assert!(
+        (LARGE_FLEET..=2 * LARGE_FLEET).contains(&placed),
+        "{placed} tasks"
+    );
 }
 
 // Guards against a backlog of thousands of jobs that are all offered every four hundred milliseconds.
@@ -198,8 +204,8 @@
 // Guards against chunks whose finishes wait being looked at again for each batch.
 #[test]
 fn finishes_that_wait_are_not_looked_at_again_and_again() {
-    let mut t = empty_fleet(FEW);
-    t.submit(spec("j-1", 2 * FEW as u32));
+    let mut t = empty_fleet(SMALL_FLEET);
+    t.submit(spec("j-1", 2 * SMALL_FLEET as u32));
     t.round();
     t.beat_together(0);
     let mut reports = Vec::new();
--- a/src/scheduler/writes.rs
+++ b/src/scheduler/writes.rs
@@ -194,7 +194,7 @@
                 break;
             };
             self.count_steps(1);
-            if short && let Some(changed_at) = self.can_wait(&place.job, place.chunk) {
+            if short && let Some(changed_at) = self.deferrable_since(&place.job, place.chunk) {
                 self.deferred.insert(place, changed_at);
                 continue;
             }
@@ -241,7 +241,7 @@
     ///
     /// Guards against the finishes of many short tasks, each written by itself, that use up the writes for which starts
     /// wait. What is not written yet still stands in the workers' reports, as it is not cleared before.
-    fn can_wait(&self, id: &JobId, number: u32) -> Option<Micros> {
+    fn deferrable_since(&self, id: &JobId, number: u32) -> Option<Micros> {
         let job = self.jobs.get(id)?;
         let chunk = job.chunks.get(&number)?;
         let waits = !job.ending
@@ -262,7 +262,7 @@
         let chunk = job.chunks.get_mut(&0).filter(|c| c.dirty)?;
         chunk.dirty = false;
         job.ending = true;
-        self.guarantees.note_change(&job.spec.team);
+        self.guarantees.mark_stale(&job.spec.team);
         Some(Write::Whole {
             job: id.clone(),
             tasks: job.spec.tasks,
@@ -312,7 +312,7 @@
                 .sum();
             if !job.ending && written == job.spec.tasks {
                 job.ending = true;
-                self.guarantees.note_change(&job.spec.team);
+                self.guarantees.mark_stale(&job.spec.team);
                 *left -= 1;
                 batch.push(Write::Done {
                     job: id.clone(),
@@ -420,9 +420,9 @@
     fn resume_job(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.ending = job.end.is_some();
-            self.guarantees.note_change(&job.spec.team);
+            self.guarantees.mark_stale(&job.spec.team);
         }
-        self.note_waiting(id);
+        self.update_waiting(id);
     }
 
     /// A batch was certainly not applied.
@@ -430,11 +430,11 @@
         for write in batch {
             match write {
                 Write::Chunk { job, chunk, .. } => {
-                    self.note_change(job, *chunk);
+                    self.mark_dirty(job, *chunk);
                 }
                 Write::Whole { job, .. } => {
                     self.resume_job(job);
-                    self.note_change(job, 0);
+                    self.mark_dirty(job, 0);
                 }
                 Write::Done { job, .. } => self.resume_job(job),
                 Write::Images { machine, .. } => {
