--- a/src/leader/cycles.rs
+++ b/src/leader/cycles.rs
@@ -2,8 +2,8 @@
 
 use super::commit::BatchWriter;
 use crate::clock::{Clock, sleep};
-use crate::kv::KvClient;
-use crate::kv::MAX_BATCH_BYTES;
+use crate::kv::{KvClient, MAX_BATCH_BYTES};
+use crate::scheduler::EventLevel;
 use crate::store::StateCache;
 use crate::term::{LeaderTerm, TermEnd};
 use crate::units::Micros;
@@ -86,12 +86,12 @@
     }
 
     fn log_events(&self) {
-        let (notes, details) = self.term.scheduler.borrow_mut().take_notes();
-        for note in notes {
-            info!("{note}");
-        }
-        for detail in details {
-            debug!("{detail}");
+        let events = self.term.scheduler.borrow_mut().take_events();
+        for event in events {
+            match event.level() {
+                EventLevel::Info => info!("{event}"),
+                EventLevel::Debug => debug!("{event}"),
+            }
         }
     }
 }
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -1,6 +1,7 @@
 //! What a heartbeat tells of its machine: that it is there, that it hears us, and what became of its tasks.
 
 use super::Scheduler;
+use super::events::SchedulerEvent;
 use super::ids::MachineId;
 use super::machine::MachineState;
 use super::messages::{Heartbeat, TaskStatusIndex};
@@ -24,10 +25,11 @@
             return HeartbeatOutcome::default();
         }
         if !self.machines.contains_key(&r.machine) {
-            self.notes
-                .push(format!("event=machine_unexpected machine={}", r.machine));
+            self.events.push(SchedulerEvent::MachineUnexpected {
+                machine: r.machine.clone(),
+            });
         }
-        self.learn_machine(&r.machine, &r.machine_type, &r.zone, r.spot, now);
+        self.observe_machine(&r.machine, &r.machine_type, &r.zone, r.spot, now);
         let Some(m) = self.machines.get_mut(&r.machine) else {
             return HeartbeatOutcome::default();
         };
@@ -63,11 +65,13 @@
             m.images
                 .extend(self.known_images.remove(&r.machine).unwrap_or_default());
             m.written_images = m.image_names();
-            let took = now.since(m.since);
-            self.notes.push(format!(
-                "event=machine_ready machine={} machine_type={} zone={} spot={} after={took}",
-                r.machine, r.machine_type, r.zone, r.spot
-            ));
+            self.events.push(SchedulerEvent::MachineReady {
+                machine: r.machine.clone(),
+                machine_type: r.machine_type.clone(),
+                zone: r.zone.clone(),
+                spot: r.spot,
+                after: now.since(m.since),
+            });
         }
         let noticed = r.notice_s.is_some() && m.notice.is_none();
         m.notice = r.notice_s.map(|s| now + Micros::from_secs_f64(s));
@@ -77,8 +81,9 @@
         let mut changed = self.reconcile_placements(r, &index, now);
         changed |= self.reconcile_unplaced(r, now);
         if noticed {
-            self.notes
-                .push(format!("event=preemption_notice machine={}", r.machine));
+            self.events.push(SchedulerEvent::PreemptionNotice {
+                machine: r.machine.clone(),
+            });
             self.drain_for_notice(&r.machine);
         }
         if let Some(m) = self.machines.get_mut(&r.machine) {
@@ -117,19 +122,19 @@
         let behind = r.token < self.token;
         let ended =
             r.agent_epoch > newest.agent_epoch && now.since(m.last_contact) < lease.scaled(1, 2);
-        let heeds = m.acknowledges(index);
+        let acknowledged = m.acknowledges(index);
         // A worker that misses an answer turns to the next controller: one that stays was answered, if not by us.
         let stays = self.config.controllers > 1 && m.via == via;
-        if behind || !stays && (ended || heeds == Some(false)) {
+        if behind || !stays && (ended || acknowledged == Some(false)) {
             m.unacknowledged_heartbeats += 1;
             m.unacknowledged_at = now;
             if m.is_inbound_unreachable() {
-                self.details.push(format!(
-                    "event=heartbeat_unacknowledged machine={} count={}",
-                    r.machine, m.unacknowledged_heartbeats
-                ));
+                self.events.push(SchedulerEvent::HeartbeatUnacknowledged {
+                    machine: r.machine.clone(),
+                    count: m.unacknowledged_heartbeats,
+                });
             }
-        } else if stays || heeds == Some(true) || now.since(m.unacknowledged_at) > window {
+        } else if stays || acknowledged == Some(true) || now.since(m.unacknowledged_at) > window {
             // Its lease would have run out by now if none of our answers had arrived.
             m.unacknowledged_heartbeats = 0;
         }
@@ -137,7 +142,7 @@
 
     /// Another controller hears these machines though their heartbeats can't get here: they are alive.
     pub fn on_contact(&mut self, node: &str, machines: &[MachineId], now: Micros) {
-        self.failure_detector.told.insert(node.to_owned(), now);
+        self.failure_detector.observe_contacts(node, now);
         for id in machines {
             if let Some(m) = self.machines.get_mut(id) {
                 m.last_contact = now;
--- a/src/scheduler/rebuild.rs
+++ b/src/scheduler/rebuild.rs
@@ -2,6 +2,7 @@
 //! machine has told what is on it.
 
 use super::Scheduler;
+use super::events::SchedulerEvent;
 use super::ids::TaskId;
 use super::machine::MachineState;
 use super::records::CHUNK_SIZE;
@@ -18,7 +19,7 @@
 pub(super) struct Rebuild {
     /// The list of machines was asked for so late that it has every machine that was provisioned before the loss.
     listed: bool,
-    told_at: Micros,
+    logged_at: Micros,
 }
 
 impl Scheduler {
@@ -27,7 +28,7 @@
         self.raise_attempts(number);
         self.rebuild = Some(Rebuild {
             listed: false,
-            told_at: now,
+            logged_at: now,
         });
     }
 
@@ -42,7 +43,7 @@
     }
 
     /// The machine list was read, and was asked for at this time.
-    pub(super) fn note_list_of_rebuild(&mut self, asked_at: Micros) {
+    pub(super) fn observe_list_in_rebuild(&mut self, asked_at: Micros) {
         let lag = self.config.list_lag.scaled(2, 1) + Micros::secs(1);
         let is_late = asked_at.since(self.started_at) > lag;
         if let Some(rebuild) = &mut self.rebuild {
@@ -67,26 +68,26 @@
         };
         if rebuild.listed && unheard == 0 {
             self.rebuild = None;
-            let took = now.since(self.started_at);
-            self.notes.push(format!(
-                "event=rebuild_confirmed token={} machines={} after={took}",
-                self.token,
-                self.machines.len()
-            ));
+            self.events.push(SchedulerEvent::RebuildConfirmed {
+                token: self.token,
+                machines: self.machines.len(),
+                after: now.since(self.started_at),
+            });
             return true;
         }
-        if now.since(rebuild.told_at) >= LOG_INTERVAL {
-            rebuild.told_at = now;
-            self.notes.push(format!(
-                "event=rebuild_waiting token={} listed={} unheard={unheard}",
-                self.token, rebuild.listed
-            ));
+        if now.since(rebuild.logged_at) >= LOG_INTERVAL {
+            rebuild.logged_at = now;
+            self.events.push(SchedulerEvent::RebuildWaiting {
+                token: self.token,
+                listed: rebuild.listed,
+                unheard,
+            });
         }
         false
     }
 
     /// An attempt of a task was seen that no record shows: later ones must be higher.
-    pub(super) fn note_attempt(&mut self, task: &TaskId, attempt: u64) {
+    pub(super) fn raise_last_attempt(&mut self, task: &TaskId, attempt: u64) {
         if self.rebuild.is_none() {
             return;
         }
--- a/src/scheduler/scenarios/recovery.rs
+++ b/src/scheduler/scenarios/recovery.rs
@@ -209,7 +209,7 @@
     }
     assert!(rented > 0, "nothing comes");
     assert_eq!(t.s.machines.values().filter(|m| !m.lost).count(), 0);
-    let (notes, _) = t.s.take_notes();
+    let notes = t.info_lines();
     assert!(
         notes.iter().any(|n| n.contains("why=lost")),
         "they are dropped: {notes:?}"
@@ -269,7 +269,7 @@
     t.take_over(TOKEN + 1);
     let told = |t: &mut Scenario| {
         t.s.plan_fleet(t.now, 0);
-        let (notes, _) = t.s.take_notes();
+        let notes = t.info_lines();
         let about = notes.into_iter().filter(|n| n.contains("=recovery_"));
         about.collect::<Vec<String>>().join("\n")
     };
@@ -308,8 +308,8 @@
     let id = t.submit(spec("j-1", 3));
     t.round();
     t.beat_all();
-    let held = |t: &Scenario, name: &str| t.s.machines[&MachineId(name.into())].held.len();
-    assert_eq!((held(&t, "m-1"), held(&t, "m-2")), (2, 1));
+    let reserved = |t: &Scenario, name: &str| t.s.machines[&MachineId(name.into())].reserved.len();
+    assert_eq!((reserved(&t, "m-1"), reserved(&t, "m-2")), (2, 1));
     // The records are from before the first task was lost and placed again on another machine, which runs it.
     let run = |t: &mut Scenario, name: &str, attempt: u64| {
         let worker = t.workers.get_mut(name).expect("a worker");
