--- /dev/null
+++ b/tests/log_events.rs
@@ -0,0 +1,316 @@
+//! The log events in the code and the tables of docs/operations.md ("Log") name the same events.
+//!
+//! What is scanned: the string literals of every `src/**/*.rs` except test code (`tests.rs`, and the directories `tests` and
+//! `scenarios`); comments don't count. An event is
+//!
+//! - what follows `event=` in a literal: `"event=job_done job={job}"`;
+//! - or a name chosen at run time. Where a literal has a placeholder or its end after `event=` (`"event={event} zone={zone}"`),
+//!   the names stand elsewhere in that file, so each of its literals that is nothing but a name of several words
+//!   (`"provisioning_slow"`) must stand in the page's section on the log: as an event, or in backquotes as a value.
+//!
+//! It does not matter whether a line is logged where it is formatted, or built by a type of events first.
+
+use std::collections::BTreeSet;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+const PAGE: &str = "docs/operations.md";
+const MARKER: &str = "event=";
+
+fn root() -> &'static Path {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+}
+
+fn read(path: &Path) -> String {
+    fs::read_to_string(path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+/// The source files below a directory, without test code.
+fn source_files(directory: &Path) -> Vec<PathBuf> {
+    let mut files = Vec::new();
+    for entry in fs::read_dir(directory).expect("the source directory can be read") {
+        let path = entry.expect("the entry can be read").path();
+        let stem = path.file_stem().unwrap_or_default();
+        if stem == "tests" || stem == "scenarios" {
+            continue;
+        }
+        if path.is_dir() {
+            files.extend(source_files(&path));
+        } else if path.extension().is_some_and(|e| e == "rs") {
+            files.push(path);
+        }
+    }
+    files
+}
+
+/// The contents of the string literals of Rust code, in order; escapes stay as they are written.
+fn string_literals(code: &str) -> Vec<String> {
+    let chars: Vec<char> = code.chars().collect();
+    let starts = |at: usize, text: &str| {
+        text.chars()
+            .enumerate()
+            .all(|(n, c)| chars.get(at + n) == Some(&c))
+    };
+    let mut literals = Vec::new();
+    let mut at = 0;
+    while at < chars.len() {
+        if starts(at, "//") {
+            while at < chars.len() && chars[at] != '\n' {
+                at += 1;
+            }
+        } else if starts(at, "/*") {
+            let mut depth = 0;
+            loop {
+                if starts(at, "/*") {
+                    depth += 1;
+                    at += 2;
+                } else if starts(at, "*/") {
+                    depth -= 1;
+                    at += 2;
+                } else {
+                    at += 1;
+                }
+                if depth == 0 || at >= chars.len() {
+                    break;
+                }
+            }
+        } else if chars[at] == '\'' {
+            // A character, or a lifetime, of which only the mark is passed over.
+            if chars.get(at + 1) == Some(&'\\') {
+                at += 3;
+                while at < chars.len() && chars[at] != '\'' {
+                    at += 1;
+                }
+                at += 1;
+            } else if chars.get(at + 2) == Some(&'\'') {
+                at += 3;
+            } else {
+                at += 1;
+            }
+        } else if let Some(hashes) = raw_string_hashes(&chars, at) {
+            at += hashes + 2;
+            let end = format!("\"{}", "#".repeat(hashes));
+            let begin = at;
+            while at < chars.len() && !starts(at, &end) {
+                at += 1;
+            }
+            literals.push(chars[begin..at].iter().collect());
+            at += end.len();
+        } else if chars[at] == '"' {
+            at += 1;
+            let begin = at;
+            while at < chars.len() && chars[at] != '"' {
+                at += if chars[at] == '\\' { 2 } else { 1 };
+            }
+            literals.push(chars[begin..at.min(chars.len())].iter().collect());
+            at += 1;
+        } else {
+            at += 1;
+        }
+    }
+    literals
+}
+
+/// The number of `#` of a raw string that begins here, if one does.
+fn raw_string_hashes(chars: &[char], at: usize) -> Option<usize> {
+    let follows_name =
+        at > 0 && (chars[at - 1].is_alphanumeric() || chars[at - 1] == '_') && chars[at - 1] != 'b';
+    if chars[at] != 'r' || follows_name {
+        return None;
+    }
+    let hashes = chars[at + 1..].iter().take_while(|c| **c == '#').count();
+    (chars.get(at + 1 + hashes) == Some(&'"')).then_some(hashes)
+}
+
+fn is_name_char(c: char) -> bool {
+    c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_'
+}
+
+/// What the code names.
+#[derive(Debug, Default)]
+struct Code {
+    /// Events that are written out.
+    events: BTreeSet<String>,
+    /// Names in files that choose an event at run time: events, and values besides.
+    candidates: BTreeSet<String>,
+}
+
+impl Code {
+    fn scan(&mut self, code: &str) {
+        let literals = string_literals(code);
+        let mut chooses_at_run_time = false;
+        for literal in &literals {
+            for (at, _) in literal.match_indices(MARKER) {
+                // `some_event=` would be another key.
+                if literal[..at].ends_with(is_name_char) {
+                    continue;
+                }
+                let after = &literal[at + MARKER.len()..];
+                let end = after.find(|c| !is_name_char(c)).unwrap_or(after.len());
+                let name = &after[..end];
+                if name.is_empty() {
+                    chooses_at_run_time = true;
+                } else {
+                    self.events.insert(name.to_owned());
+                }
+            }
+        }
+        if chooses_at_run_time {
+            let names = literals
+                .into_iter()
+                .filter(|l| l.contains('_') && l.chars().all(is_name_char));
+            self.candidates.extend(names);
+        }
+    }
+}
+
+fn code() -> Code {
+    let mut code = Code::default();
+    for file in source_files(&root().join("src")) {
+        code.scan(&read(&file));
+    }
+    code
+}
+
+/// The page's section below a heading, up to the next heading of this level or above.
+fn section<'a>(page: &'a str, heading: &str) -> &'a str {
+    let begin = page
+        .find(&format!("\n{heading}\n"))
+        .unwrap_or_else(|| panic!("{PAGE} has no heading {heading:?}"));
+    let body = &page[begin + heading.len() + 2..];
+    let level = heading.chars().take_while(|c| *c == '#').count();
+    let end = (1..=level)
+        .filter_map(|n| body.find(&format!("\n{} ", "#".repeat(n))))
+        .min();
+    &body[..end.unwrap_or(body.len())]
+}
+
+/// The names in backquotes in a piece of text.
+fn quoted_names(text: &str) -> impl Iterator<Item = &str> {
+    text.split('`').skip(1).step_by(2)
+}
+
+/// The rows of a table, each with its cells; the head and the line below it are left out.
+fn rows(table: &str) -> Vec<Vec<&str>> {
+    let lines = table.lines().filter(|l| l.starts_with('|')).skip(2);
+    lines
+        .map(|l| l.trim_matches('|').split('|').map(str::trim).collect())
+        .collect()
+}
+
+/// The one name that a cell holds.
+fn name<'a>(cell: &'a str) -> &'a str {
+    let inner = cell.strip_prefix('`').and_then(|c| c.strip_suffix('`'));
+    inner
+        .filter(|n| !n.is_empty() && n.chars().all(is_name_char))
+        .unwrap_or_else(|| panic!("{PAGE}: {cell:?} is not one name in backquotes"))
+}
+
+/// The events of the page's table.
+fn documented(log: &str) -> BTreeSet<String> {
+    let mut events = BTreeSet::new();
+    for row in rows(section(log, "### Events")) {
+        assert_eq!(row.len(), 3, "event, level, meaning: {row:?}");
+        let is_new = events.insert(name(row[0]).to_owned());
+        assert!(is_new, "{} stands twice in the table", row[0]);
+        let levels = ["info", "warn", "debug"];
+        assert!(
+            levels.iter().any(|l| row[1].starts_with(l)),
+            "no level: {row:?}"
+        );
+        assert!(!row[2].is_empty(), "no meaning: {row:?}");
+    }
+    events
+}
+
+fn log_section(page: &str) -> String {
+    format!("\n{}", section(page, "## Log"))
+}
+
+#[test]
+fn every_event_in_the_code_is_documented() {
+    let page = read(&root().join(PAGE));
+    let log = log_section(&page);
+    let documented = documented(&log);
+    let code = code();
+    assert!(
+        code.events.len() > 50,
+        "the scan finds the events: {:?}",
+        code.events
+    );
+    let missing: Vec<_> = code.events.difference(&documented).collect();
+    assert!(missing.is_empty(), "not in {PAGE}, \"Events\": {missing:?}");
+    let named: BTreeSet<&str> = quoted_names(&log).collect();
+    let unknown = code.candidates.iter();
+    let unknown: Vec<_> = unknown.filter(|c| !named.contains(c.as_str())).collect();
+    assert!(
+        unknown.is_empty(),
+        "chosen at run time, and not in {PAGE}, \"Log\", as event or value: {unknown:?}"
+    );
+}
+
+#[test]
+fn every_documented_event_is_in_the_code() {
+    let page = read(&root().join(PAGE));
+    let code = code();
+    let documented = documented(&log_section(&page));
+    let stale = documented.iter();
+    let stale: Vec<_> = stale
+        .filter(|e| !code.events.contains(*e) && !code.candidates.contains(*e))
+        .collect();
+    assert!(stale.is_empty(), "in {PAGE}, not in the code: {stale:?}");
+}
+
+#[test]
+fn renamed_events_lead_from_names_that_are_gone_to_names_that_exist() {
+    let page = read(&root().join(PAGE));
+    let log = log_section(&page);
+    let documented = documented(&log);
+    let code = code();
+    let mut old_names = BTreeSet::new();
+    for row in rows(section(&log, "### Renamed events")) {
+        assert_eq!(row.len(), 2, "old name, new name: {row:?}");
+        let (old, new) = (name(row[0]), name(row[1]));
+        assert!(old_names.insert(old), "{old} stands twice");
+        assert!(documented.contains(new), "{new} is no documented event");
+        assert!(!documented.contains(old), "{old} is still documented");
+        assert!(!code.events.contains(old), "{old} is still logged");
+    }
+    assert!(!old_names.is_empty());
+}
+
+#[test]
+fn scan_reads_literals_as_the_compiler_does() {
+    let mut code = Code::default();
+    code.scan(
+        r####"
+        // "event=in_a_comment"
+        /* "event=in_a_block /* nested */ comment" */
+        fn f<'a>(c: char) -> &'a str {
+            if c == '"' || c == '\'' || c == '\\' { info!("event=after_quotes x=\"{c}\""); }
+            debug!(
+                "event=on_its_own_line job={}",
+                1
+            );
+            write!(f, r#"event=raw "quoted" reason"#);
+            notes.push(format!("other_event=not_one"));
+            "event=last"
+        }
+        "####,
+    );
+    let events: Vec<&str> = code.events.iter().map(String::as_str).collect();
+    assert_eq!(events, ["after_quotes", "last", "on_its_own_line", "raw"]);
+    assert!(code.candidates.is_empty());
+}
+
+#[test]
+fn scan_takes_names_chosen_at_run_time_where_the_event_is_a_placeholder() {
+    for marker in ["event={event} zone={zone}", "event={} zone={}", "event="] {
+        let mut code = Code::default();
+        code.scan(&format!(
+            r#"let event = if slow {{ "zone_slow" }} else {{ "zone_normal" }}; push(format!("{marker}"), "a b", "plain");"#
+        ));
+        let candidates: Vec<&str> = code.candidates.iter().map(String::as_str).collect();
+        assert_eq!(candidates, ["zone_normal", "zone_slow"], "{marker}");
+    }
+}
