--- a/tests/log_events.rs
+++ b/tests/log_events.rs
@@ -199,7 +199,7 @@
 }
 
 /// The one name that a cell holds.
-fn name<'a>(cell: &'a str) -> &'a str {
+fn name(cell: &str) -> &str {
     let inner = cell.strip_prefix('`').and_then(|c| c.strip_suffix('`'));
     inner
         .filter(|n| !n.is_empty() && n.chars().all(is_name_char))
