--- /dev/null
+++ b/src/kv/transaction.rs
@@ -0,0 +1,122 @@
+//! Transactions: changes that are applied together, or not at all where a condition does not hold.
+
+use super::budget::Urgency;
+use super::client::KvClient;
+use super::error::KvError;
+use super::wire;
+use crate::clock::sleep;
+use futures_lite::FutureExt;
+use http_types::Method;
+use serde_json::Value;
+use std::cell::Cell;
+
+/// A condition of a transaction: the version that a key must have.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Condition {
+    /// The key.
+    pub key: String,
+    /// Its version, 0 where it must not exist.
+    pub version: u64,
+}
+
+impl Condition {
+    /// The condition that the key does not exist.
+    pub fn absent(key: String) -> Condition {
+        Condition { key, version: 0 }
+    }
+}
+
+/// A change within a transaction.
+#[derive(Debug, Clone, PartialEq)]
+pub enum Change {
+    /// Writes a key.
+    Put {
+        /// The key.
+        key: String,
+        /// The new value.
+        value: Value,
+        /// The lease with which the key ends, if any.
+        lease: Option<u64>,
+    },
+    /// Removes a key.
+    Delete {
+        /// The key.
+        key: String,
+    },
+}
+
+impl Change {
+    /// A write without a lease.
+    pub fn put(key: String, value: Value) -> Change {
+        Change::Put {
+            key,
+            value,
+            lease: None,
+        }
+    }
+}
+
+/// What became of a transaction.
+#[derive(Debug, Clone, PartialEq)]
+pub enum Outcome {
+    /// Applied at this revision.
+    Applied(u64),
+    /// Not applied: these keys were at other versions.
+    Conflict(Vec<String>),
+}
+
+impl KvClient {
+    /// Applies a transaction if its conditions hold.
+    ///
+    /// # Errors
+    ///
+    /// After [`KvError::Refused`] it is certain that nothing was applied; after [`KvError::Unknown`] it may have been, or
+    /// may be later.
+    pub async fn txn(
+        &self,
+        urgency: Urgency,
+        when: &[Condition],
+        writes: &[Change],
+    ) -> Result<Outcome, KvError> {
+        self.budget.pace(urgency, writes.len()).await;
+        let body = wire::transaction(when, writes)?;
+        let expected = self.loss_detector.expect();
+        let response = self.call(Method::Post, "/txn", Some(body)).await?;
+        match response.status {
+            200 => {
+                let revision = response.parse::<wire::Revision>()?.revision;
+                self.loss_detector.observe(expected, revision);
+                Ok(Outcome::Applied(revision))
+            }
+            409 => {
+                let conflict: wire::Failed = response.parse()?;
+                if let Some(revision) = conflict.revision {
+                    self.loss_detector.observe(expected, revision);
+                }
+                Ok(Outcome::Conflict(conflict.failed))
+            }
+            _ => Err(response.unexpected()),
+        }
+    }
+
+    /// Applies a transaction like [`KvClient::txn`] with [`Urgency::Now`], and sends it a second time where the first stays
+    /// without a response for longer than responses take of late. Returns the first outcome, and whether a copy was sent.
+    ///
+    /// Guards against a lost response that holds up a user, or a scheduling cycle, for as long as a request may take. Of two
+    /// copies that both arrive the later one fails, if the conditions name a key that the first changed.
+    pub async fn txn_with_retransmit(
+        &self,
+        when: &[Condition],
+        writes: &[Change],
+    ) -> (Result<Outcome, KvError>, bool) {
+        let retransmitted = Cell::new(false);
+        let first = Box::pin(self.txn(Urgency::Now, when, writes));
+        let second = Box::pin(async {
+            let wait = self.response_time.borrow().retransmit_after();
+            sleep(wait).await;
+            retransmitted.set(true);
+            self.txn(Urgency::Now, when, writes).await
+        });
+        (first.or(second).await, retransmitted.get())
+    }
+}
--- /dev/null
+++ b/src/kv/wire.rs
@@ -0,0 +1,201 @@
+//! The protocol's messages under its own field names, mapped to the client's types here and nowhere else.
+//!
+//! Fields of requests stand in the order of their names on the wire, as earlier releases sent them.
+
+use super::error::KvError;
+use super::{items, transaction, watch};
+use crate::units::Micros;
+use serde::{Deserialize, Serialize};
+use serde_json::Value;
+
+#[derive(Serialize)]
+struct Transaction<'a> {
+    when: Vec<Condition<'a>>,
+    writes: Vec<Change<'a>>,
+}
+
+#[derive(Serialize)]
+struct Condition<'a> {
+    #[serde(rename = "k")]
+    key: &'a str,
+    #[serde(rename = "stamp")]
+    version: u64,
+}
+
+#[derive(Serialize)]
+#[serde(untagged)]
+enum Change<'a> {
+    Put {
+        #[serde(rename = "data")]
+        value: &'a Value,
+        #[serde(rename = "tenure", skip_serializing_if = "Option::is_none")]
+        lease: Option<u64>,
+        #[serde(rename = "write")]
+        key: &'a str,
+    },
+    Delete {
+        #[serde(rename = "delete")]
+        key: &'a str,
+    },
+}
+
+#[derive(Serialize)]
+struct Grant {
+    #[serde(rename = "ttlMs")]
+    ttl_ms: u64,
+}
+
+/// The body of a transaction.
+pub(super) fn transaction(
+    when: &[transaction::Condition],
+    writes: &[transaction::Change],
+) -> Result<Vec<u8>, KvError> {
+    let transaction = Transaction {
+        when: when.iter().map(Condition::from).collect(),
+        writes: writes.iter().map(Change::from).collect(),
+    };
+    Ok(serde_json::to_vec(&transaction)?)
+}
+
+/// The body of a request for a lease.
+pub(super) fn grant(ttl: Micros) -> Result<Vec<u8>, KvError> {
+    let ttl_ms = ttl.as_millis();
+    Ok(serde_json::to_vec(&Grant { ttl_ms })?)
+}
+
+impl<'a> From<&'a transaction::Condition> for Condition<'a> {
+    fn from(condition: &'a transaction::Condition) -> Condition<'a> {
+        Condition {
+            key: &condition.key,
+            version: condition.version,
+        }
+    }
+}
+
+impl<'a> From<&'a transaction::Change> for Change<'a> {
+    fn from(change: &'a transaction::Change) -> Change<'a> {
+        match change {
+            transaction::Change::Put { key, value, lease } => Change::Put {
+                value,
+                lease: *lease,
+                key,
+            },
+            transaction::Change::Delete { key } => Change::Delete { key },
+        }
+    }
+}
+
+/// What tells only the revision as of which it was given.
+#[derive(Deserialize)]
+pub(super) struct Revision {
+    #[serde(rename = "epoch")]
+    pub revision: u64,
+}
+
+/// A transaction whose conditions did not hold.
+#[derive(Deserialize)]
+pub(super) struct Failed {
+    #[serde(default)]
+    pub failed: Vec<String>,
+    #[serde(rename = "epoch")]
+    pub revision: Option<u64>,
+}
+
+/// A lease that was granted.
+#[derive(Deserialize)]
+pub(super) struct Lease {
+    #[serde(rename = "tenure")]
+    pub id: u64,
+}
+
+#[derive(Deserialize)]
+pub(super) struct Item {
+    #[serde(rename = "k")]
+    key: String,
+    #[serde(rename = "data")]
+    value: Value,
+    #[serde(rename = "stamp")]
+    version: u64,
+}
+
+#[derive(Deserialize)]
+pub(super) struct Page {
+    items: Vec<Item>,
+    more: bool,
+    #[serde(rename = "epoch")]
+    revision: u64,
+}
+
+#[derive(Deserialize)]
+#[serde(untagged)]
+enum Event {
+    Put {
+        #[serde(rename = "write")]
+        key: String,
+        #[serde(rename = "data")]
+        value: Value,
+        #[serde(rename = "stamp")]
+        version: u64,
+    },
+    Delete {
+        #[serde(rename = "delete")]
+        key: String,
+        #[serde(rename = "stamp")]
+        version: u64,
+    },
+}
+
+#[derive(Deserialize)]
+pub(super) struct WatchResponse {
+    #[serde(rename = "epoch")]
+    revision: u64,
+    #[serde(rename = "news", default)]
+    events: Vec<Event>,
+}
+
+impl From<Item> for items::Item {
+    fn from(item: Item) -> items::Item {
+        items::Item {
+            key: item.key,
+            value: item.value,
+            version: item.version,
+        }
+    }
+}
+
+impl From<Page> for items::Page {
+    fn from(page: Page) -> items::Page {
+        items::Page {
+            items: page.items.into_iter().map(items::Item::from).collect(),
+            more: page.more,
+            revision: page.revision,
+        }
+    }
+}
+
+impl From<Event> for watch::Event {
+    fn from(event: Event) -> watch::Event {
+        match event {
+            Event::Put {
+                key,
+                value,
+                version,
+            } => watch::Event::Put {
+                key,
+                value,
+                version,
+            },
+            Event::Delete { key, version } => watch::Event::Delete { key, version },
+        }
+    }
+}
+
+impl From<WatchResponse> for watch::WatchResponse {
+    fn from(response: WatchResponse) -> watch::WatchResponse {
+        let events = response.events.into_iter();
+        watch::WatchResponse {
+            revision: response.revision,
+            events: events.map(watch::Event::from).collect(),
+        }
+    }
+}
--- a/src/store.rs
+++ b/src/store.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::{Clock, sleep};
 use crate::http::timeout;
-use crate::kv::{Change, Event as KeyEvent, KvClient, KvError, Urgency};
+use crate::kv::{Change, Event as KeyEvent, KvClient, KvError, Lookup, Urgency};
 use crate::units::Micros;
 use event_listener::Event;
 use futures_lite::FutureExt;
@@ -221,24 +221,15 @@
                 sleep(Micros::millis(300)).await;
                 continue;
             }
-            self.follow_changes().or(self.wait_for_loss()).await;
+            self.follow_changes()
+                .or(self.state.wait_for_evidence())
+                .await;
             if let Some(evidence) = self.state.take_evidence() {
                 self.begin_rebuild(&evidence);
             }
         }
     }
 
-    /// Returns when stored state was lost.
-    async fn wait_for_loss(&self) {
-        loop {
-            let found = self.state.loss_found.listen();
-            if self.state.has_evidence() {
-                return;
-            }
-            found.await;
-        }
-    }
-
     async fn load(&self) -> Result<(), KvError> {
         let mut fresh = View::default();
         let mut seen = Vec::new();
@@ -381,16 +372,16 @@
             let round = self.barrier.replace(Rc::default());
             let read = timeout(
                 Micros::millis(800),
-                self.state.get(Urgency::Now, ABSENT_KEY),
+                self.state.lookup(Urgency::Now, ABSENT_KEY),
             )
             .await;
             let good = match read {
-                Some(Ok(Err(revision))) => {
+                Some(Ok(Lookup::Absent { revision })) => {
                     self.mark_reachable();
                     self.wait_for_revision(revision, Micros::millis(1_000))
                         .await
                 }
-                Some(Ok(Ok(_))) => false,
+                Some(Ok(Lookup::Found(_))) => false,
                 Some(Err(e)) => {
                     debug!("event=probe_failed error={e:?}");
                     false
