--- a/src/store.rs
+++ b/src/store.rs
@@ -1,8 +1,18 @@
 //! The cached view of the state service's keys, kept by a watch, and the read barrier.
 
+mod keys;
+mod records;
 mod view;
 
-pub use view::*;
+pub use keys::{
+    ABSENT_KEY, InvalidKey, LEADER, LOSS, MACHINE_TYPES, PREFIX, StoreKey, TERM, archive_key,
+    candidate_key, chunk_key, contacts_key, end_key, images_key, job_key, provisioning_key,
+};
+pub use records::{
+    ArchivedEnd, CandidateRecord, InvalidRecord, LeaderRecord, LossRecord, ProvisioningRecord,
+    decode, encode,
+};
+pub use view::{ABORTED, JobStatus, Versioned, View, ViewChange};
 
 use crate::clock::{Clock, sleep};
 use crate::http::timeout;
@@ -16,9 +26,6 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// A key that never exists: reading it tells the current revision.
-pub const ABSENT_KEY: &str = "r/nothing";
-
 /// How long a watch waits; short, so that one whose packets are held is soon replaced.
 const WATCH_TIMEOUT: Micros = Micros::secs(3);
 /// How often the state service is tried when nothing else tells whether it answers.
@@ -121,7 +128,7 @@
     pub fn is_rebuilding(&self) -> bool {
         let view = self.view.borrow();
         let is_lost =
-            self.loss.borrow().is_some() || view.has_unfinished_rebuild() || view.term == 0;
+            self.loss.borrow().is_some() || view.has_unfinished_rebuild() || !view.has_had_leader();
         self.state.detects_loss() && is_lost
     }
 
@@ -243,7 +250,11 @@
                 from.clone_from(&item.key);
                 match fresh.put(&item.key, item.value, item.version) {
                     Ok(news) => seen.extend(news),
-                    Err(e) => warn!("event=invalid_record key={} error={e:?}", item.key),
+                    Err(e) => warn!(
+                        "event=invalid_record key={} error={:?}",
+                        item.key,
+                        e.to_string()
+                    ),
                 }
             }
             if !page.more {
@@ -300,7 +311,7 @@
                     version,
                 } => match view.put(&key, value, version) {
                     Ok(news) => seen.extend(news),
-                    Err(e) => warn!("event=invalid_record key={key} error={e:?}"),
+                    Err(e) => warn!("event=invalid_record key={key} error={:?}", e.to_string()),
                 },
                 KeyEvent::Delete { key, version } => view.delete(&key, version),
             }
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -1,7 +1,8 @@
-use super::*;
-use crate::scheduler::{ChunkRecord, JobEnd, JobId, JobRecord, MachineType};
-use serde_json::Value;
-use serde_json::json;
+use super::keys::{InvalidKey, LEADER, MACHINE_TYPES, StoreKey, contacts_key, provisioning_key};
+use super::records::{InvalidRecord, ProvisioningRecord};
+use super::view::View;
+use crate::scheduler::{ChunkRecord, JobEnd, JobId, JobRecord, MachineId, MachineType};
+use serde_json::{Value, json};
 
 fn id(text: &str) -> JobId {
     JobId::parse(text).expect("an id")
@@ -88,3 +89,81 @@
     assert_eq!(contacts_key("n-1", 0), "r/heard/n-1/0");
     assert_eq!(provisioning_key("r-7-0"), "r/rental/r-7-0");
 }
+
+// Guards against a release that can't find what another stored.
+#[test]
+fn keys_are_written_and_parsed_as_earlier_releases_stored_them() {
+    let chunk = StoreKey::Chunk {
+        job: id("j-1"),
+        chunk: 12,
+    };
+    let contacts = StoreKey::Contacts {
+        node: "n-1".into(),
+        part: 2,
+    };
+    let archive = StoreKey::EndArchive { loss: 3, part: 4 };
+    let keys = [
+        (StoreKey::Job(id("j-1")), "r/job/j-1"),
+        (StoreKey::JobEnd(id("j-1")), "r/end/j-1"),
+        (chunk, "r/run/j-1/00012"),
+        (contacts, "r/heard/n-1/2"),
+        (StoreKey::Provisioning("r-7-0".into()), "r/rental/r-7-0"),
+        (StoreKey::Images(MachineId("m-1".into())), "r/images/m-1"),
+        (StoreKey::RebuildCandidate("n-1".into()), "r/rebuild/n-1"),
+        (archive, "r/ends/3-00004"),
+        (StoreKey::Leader, "r/leader"),
+        (StoreKey::Term, "r/term"),
+        (StoreKey::MachineTypes, "r/flavors"),
+        (StoreKey::Loss, "r/loss"),
+        (StoreKey::Absent, "r/nothing"),
+    ];
+    for (key, text) in keys {
+        assert_eq!(key.to_string(), text);
+        assert_eq!(StoreKey::parse(text), Ok(key));
+    }
+}
+
+// Guards against log lines that change with the types behind them.
+#[test]
+fn records_that_are_refused_say_why() {
+    let mut view = View::default();
+    let mut refused = |key: &str, value: Value| view.put(key, value, 1).expect_err("an error");
+    let keys = [
+        ("q/other", InvalidKey::Foreign, "foreign key"),
+        ("r/job/../x", InvalidKey::JobId, "bad job id"),
+        ("r/end/x", InvalidKey::JobId, "bad job id"),
+        ("r/run/j-1", InvalidKey::Chunk, "bad chunk key"),
+        ("r/run/j-1/x", InvalidKey::Chunk, "bad chunk key"),
+        ("r/job", InvalidKey::Unknown, "unknown key"),
+        ("r/leader/x", InvalidKey::Unknown, "unknown key"),
+        ("r/nothing", InvalidKey::Unknown, "unknown key"),
+    ];
+    for (key, expected, text) in keys {
+        let error = refused(key, json!(1));
+        assert_eq!(error.to_string(), text);
+        assert!(
+            matches!(error, InvalidRecord::Key(found) if found == expected),
+            "{key}"
+        );
+    }
+    let error = refused("r/job/j-1", json!([]));
+    assert!(matches!(error, InvalidRecord::Value(_)));
+    let direct = serde_json::from_value::<JobRecord>(json!([])).expect_err("an error");
+    assert_eq!(error.to_string(), direct.to_string());
+}
+
+// Guards against records of parts whose numbers can't be read: readers do not need the numbers.
+#[test]
+fn parts_are_read_whatever_their_number() {
+    let mut view = View::default();
+    let contacts = view.put("r/heard/n-1", json!(["m-1"]), 1);
+    assert!(contacts.expect("contacts").is_some());
+    let end = json!({"job": "j-1", "end": {"how": "done", "at": 9, "done": 3}});
+    view.put("r/ends/old", json!([end]), 2).expect("an archive");
+    assert!(view.end(&id("j-1")).is_some());
+    assert!(view.put("r/ends/odd", json!(1), 3).is_err());
+    assert_eq!(
+        view.archives, 2,
+        "one that can't be read has its number taken"
+    );
+}
