--- a/src/store/view.rs
+++ b/src/store/view.rs
@@ -35,8 +35,8 @@
 
 /// All keys, as of a revision.
 ///
-/// Invariant: every change up to [`View::revision`] is in, and of each key the newest one; changes that are applied again, or
-/// removals older than what is there, do nothing.
+/// Invariant: once it is loaded, every change up to [`View::revision`] is in. Writes must be applied in the order of their
+/// revisions; a removal that is older than the write that is there does nothing.
 #[derive(Debug, Default)]
 pub struct View {
     /// The revision up to which all changes are in.
--- a/src/store/view/apply.rs
+++ b/src/store/view/apply.rs
@@ -92,9 +92,10 @@
         Ok(())
     }
 
-    /// Applies the removal of a key at this revision; what was written later stays.
+    /// Applies the removal of a key at this revision; a job, a chunk or a leader that was written later stays.
     ///
-    /// Ends and losses are never removed, and what else is not kept by its key does not matter when it is gone.
+    /// Guards against a watch that begins before a listing: its older removals must not undo newer writes. Keys of other
+    /// kinds are never removed by this service, and their removal is ignored.
     pub fn delete(&mut self, key: &str, version: u64) {
         match StoreKey::parse(key) {
             Ok(StoreKey::Job(id)) => self.delete_job(&id, version),
