--- a/src/kv/items.rs
+++ b/src/kv/items.rs
@@ -5,13 +5,15 @@
 use super::error::KvError;
 use super::wire;
 use http_types::Method;
+use serde::Deserialize;
 use serde_json::Value;
 
 /// Keys that one request lists.
 const PAGE_SIZE: usize = 1_000;
 
 /// A key with its value and version.
-#[derive(Debug, Clone)]
+#[derive(Debug, Clone, Deserialize)]
+#[serde(from = "wire::Item")]
 pub struct Item {
     /// The key.
     pub key: String,
@@ -22,7 +24,8 @@
 }
 
 /// A page of keys.
-#[derive(Debug)]
+#[derive(Debug, Deserialize)]
+#[serde(from = "wire::Page")]
 pub struct Page {
     /// The keys, in order.
     pub items: Vec<Item>,
@@ -56,7 +59,7 @@
         let path = format!("/keys/{key}");
         let response = self.call(Method::Get, &path, None).await?;
         match response.status {
-            200 => Ok(Lookup::Found(response.parse::<wire::Item>()?.into())),
+            200 => Ok(Lookup::Found(response.parse()?)),
             404 => {
                 let revision = response.parse::<wire::Revision>()?.revision;
                 self.loss_detector.observe(expected, revision);
@@ -89,7 +92,7 @@
         let response = self.call(Method::Get, &path, None).await?;
         match response.status {
             200 => {
-                let page: Page = response.parse::<wire::Page>()?.into();
+                let page: Page = response.parse()?;
                 self.loss_detector.observe(expected, page.revision);
                 Ok(page)
             }
--- a/src/kv/watch.rs
+++ b/src/kv/watch.rs
@@ -7,6 +7,7 @@
 use super::wire;
 use crate::units::Micros;
 use http_types::Method;
+use serde::Deserialize;
 use serde_json::Value;
 
 /// How much longer than it asked for a watch may take.
@@ -34,7 +35,8 @@
 }
 
 /// What a watch answered.
-#[derive(Debug)]
+#[derive(Debug, Deserialize)]
+#[serde(from = "wire::WatchResponse")]
 pub struct WatchResponse {
     /// The revision up to which no change is left out.
     pub revision: u64,
@@ -65,7 +67,7 @@
         let response = Response::classify(result)?;
         match response.status {
             200 => {
-                let changes: WatchResponse = response.parse::<wire::WatchResponse>()?.into();
+                let changes: WatchResponse = response.parse()?;
                 self.loss_detector.observe(expected, changes.revision);
                 Ok(changes)
             }
--- a/src/kv/wire.rs
+++ b/src/kv/wire.rs
@@ -1,17 +1,15 @@
 //! The protocol's messages under its own field names, mapped to the client's types here and nowhere else.
-//!
-//! Fields of requests stand in the order of their names on the wire, as earlier releases sent them.
 
 use super::error::KvError;
 use super::{items, transaction, watch};
 use crate::units::Micros;
-use serde::{Deserialize, Serialize};
+use serde::{Deserialize, Serialize, Serializer};
 use serde_json::Value;
 
 #[derive(Serialize)]
 struct Transaction<'a> {
-    when: Vec<Condition<'a>>,
-    writes: Vec<Change<'a>>,
+    when: &'a [transaction::Condition],
+    writes: &'a [transaction::Change],
 }
 
 #[derive(Serialize)]
@@ -26,12 +24,12 @@
 #[serde(untagged)]
 enum Change<'a> {
     Put {
+        #[serde(rename = "write")]
+        key: &'a str,
         #[serde(rename = "data")]
         value: &'a Value,
         #[serde(rename = "tenure", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
-        #[serde(rename = "write")]
-        key: &'a str,
     },
     Delete {
         #[serde(rename = "delete")]
@@ -45,43 +43,47 @@
     ttl_ms: u64,
 }
 
-/// The body of a transaction.
+/// Returns the body of a transaction.
 pub(super) fn transaction(
     when: &[transaction::Condition],
     writes: &[transaction::Change],
 ) -> Result<Vec<u8>, KvError> {
-    let transaction = Transaction {
-        when: when.iter().map(Condition::from).collect(),
-        writes: writes.iter().map(Change::from).collect(),
-    };
-    Ok(serde_json::to_vec(&transaction)?)
+    encode(&Transaction { when, writes })
 }
 
-/// The body of a request for a lease.
+/// Returns the body of a request for a lease.
 pub(super) fn grant(ttl: Micros) -> Result<Vec<u8>, KvError> {
     let ttl_ms = ttl.as_millis();
-    Ok(serde_json::to_vec(&Grant { ttl_ms })?)
+    encode(&Grant { ttl_ms })
 }
 
-impl<'a> From<&'a transaction::Condition> for Condition<'a> {
-    fn from(condition: &'a transaction::Condition) -> Condition<'a> {
-        Condition {
-            key: &condition.key,
-            version: condition.version,
-        }
+/// Encodes a body with the fields of each object in the order of their names, as earlier releases sent them.
+fn encode(body: &impl Serialize) -> Result<Vec<u8>, KvError> {
+    let sorted = serde_json::to_value(body)?;
+    Ok(serde_json::to_vec(&sorted)?)
+}
+
+impl Serialize for transaction::Condition {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        let condition = Condition {
+            key: &self.key,
+            version: self.version,
+        };
+        condition.serialize(serializer)
     }
 }
 
-impl<'a> From<&'a transaction::Change> for Change<'a> {
-    fn from(change: &'a transaction::Change) -> Change<'a> {
-        match change {
+impl Serialize for transaction::Change {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        let change = match self {
             transaction::Change::Put { key, value, lease } => Change::Put {
+                key,
                 value,
                 lease: *lease,
-                key,
             },
             transaction::Change::Delete { key } => Change::Delete { key },
-        }
+        };
+        change.serialize(serializer)
     }
 }
 
--- a/src/store/view.rs
+++ b/src/store/view.rs
@@ -62,7 +62,7 @@
     /// Who leads; the version is the token.
     pub leader: Option<Versioned<LeaderRecord>>,
     /// The revision of the last election.
-    term: u64,
+    pub term: u64,
     /// Recent provisioning requests by their names.
     pub provisioning: BTreeMap<String, ProvisioningRecord>,
     /// The machine types.
