--- a/src/kv.rs
+++ b/src/kv.rs
@@ -23,6 +23,3 @@
 pub use retransmit::RetransmitTimer;
 pub use transaction::{Change, Condition, Outcome};
 pub use watch::{Event, WatchResponse};
-
-#[cfg(test)]
-mod tests;
--- a/src/kv/error.rs
+++ b/src/kv/error.rs
@@ -87,3 +87,6 @@
         fmt::Debug::fmt(&self.to_string(), f)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/kv/error/tests.rs
@@ -0,0 +1,70 @@
+use super::{FailureCause, KvError, MalformedResponse};
+use crate::http::HttpError;
+use crate::kv::response::Response;
+use std::error::Error;
+
+fn failure(result: Result<(u16, Vec<u8>), HttpError>) -> KvError {
+    match Response::classify(result) {
+        Err(error) => error,
+        Ok(response) => response.unexpected(),
+    }
+}
+
+// Guards against log lines that change with the types behind them, and against a refusal taken for an unknown outcome.
+#[test]
+fn errors_tell_refused_from_unknown_and_keep_their_text() {
+    let text = |error: KvError| (error.to_string(), format!("{error:?}"));
+    let expect = |error, display: &str, debug: &str| {
+        assert_eq!(text(error), (display.to_owned(), debug.to_owned()));
+    };
+    expect(
+        failure(Ok((503, Vec::new()))),
+        "refused: status 503",
+        r#"Refused("status 503")"#,
+    );
+    expect(
+        failure(Ok((500, Vec::new()))),
+        "no answer: status 500",
+        r#"Unknown("status 500")"#,
+    );
+    expect(
+        failure(Err(HttpError::NotSent("connecting timed out".into()))),
+        "refused: connecting timed out",
+        r#"Refused("connecting timed out")"#,
+    );
+    expect(
+        failure(Err(HttpError::NoAnswer("timed out".into()))),
+        "no answer: timed out",
+        r#"Unknown("timed out")"#,
+    );
+    expect(
+        failure(Ok((418, b"short \"and\" stout".to_vec()))),
+        "malformed: status 418 short \"and\" stout",
+        r#"Malformed("status 418 short \"and\" stout")"#,
+    );
+    expect(
+        failure(Ok((400, b"no such lease".to_vec()))),
+        "no such lease",
+        "NoLease",
+    );
+}
+
+#[test]
+fn errors_keep_their_source() {
+    let lost = failure(Err(HttpError::NoAnswer("timed out".into())));
+    assert!(matches!(
+        &lost,
+        KvError::Unknown(FailureCause::Transport(HttpError::NoAnswer(_)))
+    ));
+    let source = lost.source().and_then(Error::source).expect("a source");
+    assert_eq!(source.to_string(), "no answer: timed out");
+    let response = Response {
+        status: 200,
+        body: b"{".to_vec(),
+    };
+    let garbled = response.parse::<bool>().expect_err("an error");
+    assert!(matches!(
+        garbled,
+        KvError::Malformed(MalformedResponse::Json(_))
+    ));
+}
--- a/src/kv/loss_detector.rs
+++ b/src/kv/loss_detector.rs
@@ -75,3 +75,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/kv/retransmit.rs
+++ b/src/kv/retransmit.rs
@@ -3,7 +3,7 @@
 use crate::units::Micros;
 
 /// A transaction is not sent again before this; responses normally take a few milliseconds.
-pub(super) const MIN_RETRANSMIT: Micros = Micros::millis(400);
+const MIN_RETRANSMIT: Micros = Micros::millis(400);
 
 /// Estimates response times as TCP estimates its round-trip time, and from them when to give up waiting for a response.
 ///
@@ -33,3 +33,6 @@
         (self.smoothed + self.variation.scaled(4, 1)).max(MIN_RETRANSMIT)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/kv/wire.rs
+++ b/src/kv/wire.rs
@@ -201,3 +201,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/store/barrier.rs
+++ b/src/store/barrier.rs
@@ -126,3 +126,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/store/change_log.rs
+++ b/src/store/change_log.rs
@@ -35,3 +35,6 @@
         changes.as_mut().map(std::mem::take).unwrap_or_default()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/store/loss.rs
+++ b/src/store/loss.rs
@@ -135,3 +135,6 @@
         self.changed.notify(usize::MAX);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_job_is_pending_then_running_then_done_for_ever() {
+fn job_is_pending_then_running_then_done_for_ever() {
     let mut view = View::default();
     assert_eq!(view.status(&id("j-1")), None);
     view.put("r/job/j-1", job("j-1"), 5).expect("a job");
@@ -39,7 +39,7 @@
 
 // Guards against a watch that begins before a list: its older removals must not undo newer writes.
 #[test]
-fn an_old_removal_does_not_undo_a_newer_write() {
+fn stale_removal_does_not_undo_newer_write() {
     let mut view = View::default();
     let leader = json!({"node": "n-1", "incarnation": 4, "lease": 3});
     view.put(LEADER, leader, 12).expect("a leader");
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn odd_keys_and_values_are_refused_without_harm() {
+fn invalid_keys_and_values_are_refused_without_harm() {
     let mut view = View::default();
     assert!(view.put("q/other", json!(1), 1).is_err());
     assert!(view.put("r/job/../x", json!(1), 1).is_err());
@@ -66,7 +66,7 @@
 // Guards against a rolling upgrade in which one release can't read what the other wrote: whatever the fields are called in the
 // code, records are read and written under the names that earlier releases stored.
 #[test]
-fn records_keep_the_names_under_which_earlier_releases_stored_them() {
+fn records_keep_field_names_of_earlier_releases() {
     let rental = json!({"rental": {"charter": "r-7-0", "rig": "g8", "zone": "a", "spot": true, "count": 2},
         "machines": ["m-1"], "at": 5});
     let read: ProvisioningRecord = serde_json::from_value(rental.clone()).expect("a rental");
@@ -92,7 +92,7 @@
 
 // Guards against a release that can't find what another stored.
 #[test]
-fn keys_are_written_and_parsed_as_earlier_releases_stored_them() {
+fn keys_keep_the_form_of_earlier_releases() {
     let chunk = StoreKey::Chunk {
         job: id("j-1"),
         chunk: 12,
@@ -125,7 +125,7 @@
 
 // Guards against log lines that change with the types behind them.
 #[test]
-fn records_that_are_refused_say_why() {
+fn invalid_records_say_why() {
     let mut view = View::default();
     let mut refused = |key: &str, value: Value| view.put(key, value, 1).expect_err("an error");
     let keys = [
@@ -154,7 +154,7 @@
 
 // Guards against records of parts whose numbers can't be read: readers do not need the numbers.
 #[test]
-fn parts_are_read_whatever_their_number() {
+fn keys_of_parts_are_read_whatever_their_number() {
     let mut view = View::default();
     let contacts = view.put("r/heard/n-1", json!(["m-1"]), 1);
     assert!(contacts.expect("contacts").is_some());
