--- a/src/kv.rs
+++ b/src/kv.rs
@@ -21,5 +21,5 @@
 pub use error::{FailureCause, KvError, MalformedResponse};
 pub use items::{Item, Lookup, Page};
 pub use retransmit::RetransmitTimer;
-pub use transaction::{Change, Condition, Outcome};
+pub use transaction::{Change, Condition, MAX_BATCH_BYTES, Outcome};
 pub use watch::{Event, WatchResponse};
--- a/src/kv/transaction.rs
+++ b/src/kv/transaction.rs
@@ -10,6 +10,9 @@
 use serde_json::Value;
 use std::cell::Cell;
 
+/// Most bytes of the changes in a transaction of 64 KiB, which leaves room for its conditions.
+pub const MAX_BATCH_BYTES: usize = 36 * 1024;
+
 /// A condition of a transaction: the version that a key must have.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Condition {
