--- a/src/kv/tests.rs
+++ b/src/kv/retransmit/tests.rs
@@ -1,9 +1,10 @@
-use super::*;
+use super::{MIN_RETRANSMIT, RetransmitTimer};
+use crate::units::Micros;
 
 // Guards against copies of every transaction where the state service is slow, and against a wait that a service which is
 // well again does not shorten.
 #[test]
-fn the_wait_before_a_transaction_is_sent_again_follows_what_answers_take() {
+fn retransmission_timeout_follows_response_times() {
     let mut time = RetransmitTimer::default();
     assert_eq!(time.retransmit_after(), MIN_RETRANSMIT);
     for _ in 0..20 {
