--- a/src/api/admission.rs
+++ b/src/api/admission.rs
@@ -64,9 +64,9 @@
 
 impl AdmissionControl {
     /// Admission by these settings.
-    pub fn new(platform: &Platform, settings: &Settings, clock: Clock) -> AdmissionControl {
+    pub fn new(platform: &Platform, settings: &Settings) -> AdmissionControl {
         AdmissionControl {
-            clock,
+            clock: Clock,
             teams: platform.teams(),
             cap: settings.admission_cap(platform),
             limit_logged_at: Cell::new(Micros::ZERO),
--- a/src/cancellation/service.rs
+++ b/src/cancellation/service.rs
@@ -46,7 +46,6 @@
 impl CancellationService {
     /// A controller that knows of no cancellation; `cancel_limit` is how long after one its tasks must be gone.
     pub fn new(
-        clock: Clock,
         cancel_limit: Micros,
         store: Rc<StateCache>,
         cloud: Rc<Cloud>,
@@ -55,7 +54,7 @@
         current_term: Rc<CurrentTerm>,
     ) -> CancellationService {
         CancellationService {
-            clock,
+            clock: Clock,
             cancel_limit,
             store,
             cloud,
--- a/src/contacts.rs
+++ b/src/contacts.rs
@@ -52,7 +52,6 @@
     /// A controller to which no worker came yet.
     pub fn new(
         platform: &Platform,
-        clock: Clock,
         kv: Rc<KvClient>,
         store: Rc<StateCache>,
         membership: Rc<Membership>,
@@ -63,7 +62,7 @@
         let max_value_bytes = (limits.value_kb * 1024.0).min(MAX_VALUE_BYTES) * VALUE_FILL;
         let lasting = |time: Micros| RefCell::new(ExpiringMap::new(time.0));
         ContactTracker {
-            clock,
+            clock: Clock,
             kv,
             store,
             membership,
--- /dev/null
+++ b/src/controller/tasks.rs
@@ -0,0 +1,164 @@
+//! The tasks of a controller: the long-lived ones, and one for each connection.
+
+use super::Controller;
+use crate::clock::{Clock, sleep};
+use crate::http;
+use crate::net::{Listener, Stream};
+use crate::pause_detector::PAUSE_CHECK_INTERVAL;
+use crate::peer;
+use crate::units::Micros;
+use async_executor::{LocalExecutor, Task};
+use futures_lite::{FutureExt, future};
+use log::{debug, info, warn};
+use std::future::Future;
+use std::io;
+use std::rc::Rc;
+
+/// Pause after a connection could not be accepted, as sockets may be short.
+const ACCEPT_RETRY: Micros = Micros::millis(50);
+
+/// Runs a controller for ever.
+///
+/// Its tasks end when the returned future is dropped, wherever they are; each connection has a task of its own.
+///
+/// # Errors
+///
+/// Fails where it can't listen on one of its addresses.
+pub async fn run<'a>(ex: &LocalExecutor<'a>, controller: Rc<Controller>) -> io::Result<()>
+where
+    Rc<Controller>: 'a,
+{
+    let platform = &controller.shared.platform;
+    let listener = Listener::bind(platform.bind).await?;
+    let peer_listener = Listener::bind(platform.internal_addr).await?;
+    info!(
+        "event=started node={} zone={} bind={} internal={}",
+        platform.node, platform.zone, platform.bind, platform.internal_addr
+    );
+    for warning in platform.warnings() {
+        warn!("event=settings_marginal reason={warning:?}");
+    }
+    let _tasks = spawn_tasks(ex, &controller);
+    let c = controller.clone();
+    let peer_executor = LocalExecutor::new();
+    let serve_peers = accept(&peer_executor, peer_listener, &controller, move |stream| {
+        let c = c.clone();
+        async move { peer::serve(stream, |frame| c.peer_api.answer(frame)).await }
+    });
+    let c = controller.clone();
+    let serve_http = accept(ex, listener, &controller, move |stream| {
+        let c = c.clone();
+        async move {
+            let idle_limit = || c.connections.idle_limit();
+            http::serve(stream, idle_limit, |request| c.route(request)).await
+        }
+    });
+    future::zip(peer_executor.run(serve_peers), serve_http).await;
+    Ok(())
+}
+
+/// Spawns the tasks that run for as long as the controller does.
+fn spawn_tasks<'a>(ex: &LocalExecutor<'a>, controller: &Rc<Controller>) -> Vec<Task<()>>
+where
+    Rc<Controller>: 'a,
+{
+    let mut tasks = Vec::new();
+    let mut spawn = |name, work| tasks.push(spawn_named(ex, name, work));
+    let c = controller.clone();
+    spawn(
+        "follow",
+        async move { c.shared.store.follow().await }.boxed_local(),
+    );
+    let c = controller.clone();
+    spawn(
+        "barriers",
+        async move { c.shared.store.serve_barriers().await }.boxed_local(),
+    );
+    let c = controller.clone();
+    spawn("lead", async move { c.leader.run().await }.boxed_local());
+    let c = controller.clone();
+    spawn(
+        "contacts",
+        async move { c.contacts.publish().await }.boxed_local(),
+    );
+    let c = controller.clone();
+    spawn(
+        "pulse",
+        async move { watch_process(&c).await }.boxed_local(),
+    );
+    let c = controller.clone();
+    spawn(
+        "clear_up",
+        async move { c.cancellations.terminate_residue().await }.boxed_local(),
+    );
+    if controller.shared.settings.rebuilds() {
+        let c = controller.clone();
+        spawn(
+            "rebuild",
+            async move { c.state_loss.run().await }.boxed_local(),
+        );
+    }
+    for i in 0..controller.shared.peers.len() {
+        let c = controller.clone();
+        spawn(
+            "ping",
+            async move { c.pinger.run(&c.shared.peers[i]).await }.boxed_local(),
+        );
+    }
+    tasks
+}
+
+/// Spawns a task that is not expected to end.
+fn spawn_named<'a>(
+    ex: &LocalExecutor<'a>,
+    name: &'static str,
+    work: impl Future<Output = ()> + 'a,
+) -> Task<()> {
+    ex.spawn(async move {
+        work.await;
+        warn!("event=task_ended duty={name}");
+    })
+}
+
+/// Accepts connections for ever, each served by a task of its own.
+async fn accept<'a, F, Fut>(
+    ex: &LocalExecutor<'a>,
+    listener: Listener,
+    controller: &Controller,
+    serve: F,
+) where
+    F: Fn(Stream) -> Fut,
+    Fut: Future<Output = ()> + 'a,
+{
+    loop {
+        match listener.accept().await {
+            Ok(stream) => match controller.connections.accept() {
+                Some(open) => {
+                    let work = serve(stream);
+                    ex.spawn(async move {
+                        work.await;
+                        drop(open);
+                    })
+                    .detach();
+                }
+                None => debug!("event=connection_refused reason=too_many"),
+            },
+            Err(e) => {
+                debug!("event=accept_failed error={:?}", e.to_string());
+                sleep(ACCEPT_RETRY).await;
+            }
+        }
+    }
+}
+
+/// Detects process pauses, and logs shortages of sockets, for ever.
+async fn watch_process(controller: &Controller) {
+    loop {
+        let now = Clock.now();
+        if let Some(gap) = controller.shared.pause_detector.check(now) {
+            controller.shared.current_term.on_process_pause(gap, now);
+        }
+        controller.connections.log_shortage();
+        sleep(PAUSE_CHECK_INTERVAL).await;
+    }
+}
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -36,7 +36,8 @@
 
 fn answer_all(node: &Controller) {
     for i in [0, 2, 3, 4] {
-        node.membership
+        node.shared
+            .membership
             .record_peer_status(&format!("n-{i}"), ClusterStatus::default());
     }
 }
@@ -48,11 +49,11 @@
     let n = node(14.0);
     let m = MachineId("m-1".into());
     assert!(
-        !n.membership.is_isolated(),
+        !n.shared.membership.is_isolated(),
         "it heard from the state service just now"
     );
-    n.store.mark_unreachable_for_test();
-    assert!(n.membership.is_isolated() && !is_ready(&n.store, &n.membership));
+    n.shared.store.mark_unreachable_for_test();
+    assert!(n.shared.membership.is_isolated() && !is_ready(&n.shared.store, &n.shared.membership));
     assert_eq!(
         n.contacts.redirect_target(&m, "b"),
         None,
@@ -68,10 +69,10 @@
         "back again, it is left in peace"
     );
     answer_all(&n);
-    assert!(!n.membership.is_isolated());
+    assert!(!n.shared.membership.is_isolated());
     // A longer lease bears more tries, a lease that bears none is not risked.
     let far = node(36.0);
-    far.store.mark_unreachable_for_test();
+    far.shared.store.mark_unreachable_for_test();
     assert_eq!(
         far.contacts.preceding_controller(1, Micros::secs(36)),
         Some("n-4".into())
@@ -90,7 +91,7 @@
     let m = MachineId("m-1".into());
     let lead = |node: &str| {
         let record = serde_json::json!({"node": node, "incarnation": 1, "lease": 1});
-        let put = n.store.view.borrow_mut().put("r/leader", record, 7);
+        let put = n.shared.store.view.borrow_mut().put("r/leader", record, 7);
         put.expect("a leader");
     };
     n.contacts.record_contact(m.clone());
@@ -108,7 +109,7 @@
     );
     let other = MachineId("m-2".into());
     n.contacts.record_contact(other.clone());
-    n.membership.forget_peers(Some("n-3"));
+    n.shared.membership.forget_peers(Some("n-3"));
     assert_eq!(
         n.contacts.redirect_target(&other, "b"),
         Some("n-2".into()),
@@ -163,7 +164,7 @@
     let n = Rc::new(node(14.0));
     answer_all(&n);
     let lead = serde_json::json!({"node": "n-2", "incarnation": 1, "lease": 1});
-    let put = n.store.view.borrow_mut().put("r/leader", lead, 7);
+    let put = n.shared.store.view.borrow_mut().put("r/leader", lead, 7);
     put.expect("a leader");
     hear_of_cancellation(&n, "j-1");
     let (status, answer) = checkin(&n, 1, 7, &["j-1", "j-2"]);
@@ -171,7 +172,7 @@
     assert_eq!(answer["orders"], stop_of("j-1"));
     // Told by the view alone it is the same, and the other job is nobody's to stop.
     let end = serde_json::json!({"how": "aborted", "at": 1, "done": 0});
-    let put = n.store.view.borrow_mut().put("r/end/j-1", end, 8);
+    let put = n.shared.store.view.borrow_mut().put("r/end/j-1", end, 8);
     put.expect("an end");
     assert_eq!(
         checkin(&n, 2, 7, &["j-2", "j-1"]).1["orders"],
@@ -189,16 +190,16 @@
 fn a_leader_without_a_lease_stops_what_is_cancelled_and_alone_hands_its_workers_on() {
     let n = Rc::new(node(14.0));
     answer_all(&n);
-    let term = Rc::new(n.begin_term(LeaderLease::expired(7, 1)));
-    n.membership.set_own_term(Some(term.token()));
-    n.current_term.set(Some(term));
+    let term = Rc::new(n.leader.begin_term(LeaderLease::expired(7, 1)));
+    n.shared.membership.set_own_term(Some(term.token()));
+    n.shared.current_term.set(Some(term));
     hear_of_cancellation(&n, "j-1");
     let (_, answer) = checkin(&n, 1, 7, &["j-1", "j-2"]);
     assert_eq!(answer["orders"], stop_of("j-1"));
-    n.store.mark_unreachable_for_test();
+    n.shared.store.mark_unreachable_for_test();
     assert_eq!(checkin(&n, 2, 7, &["j-2"]).0, 200, "an outage for all");
-    n.membership.forget_peers(None);
-    assert!(n.membership.is_isolated());
+    n.shared.membership.forget_peers(None);
+    assert!(n.shared.membership.is_isolated());
     assert_eq!(checkin(&n, 3, 7, &["j-2"]).0, 200, "its lease goes first");
     let (status, answer) = checkin(&n, 4, 7, &["j-2"]);
     assert_eq!((status, answer["muster"].as_str()), (421, Some("n-0")));
--- a/src/election.rs
+++ b/src/election.rs
@@ -39,7 +39,6 @@
 impl Election {
     /// A controller that has not stood for election yet; `ttl` is the lifetime of the leader's lease.
     pub fn new(
-        clock: Clock,
         kv: Rc<KvClient>,
         store: Rc<StateCache>,
         membership: Rc<Membership>,
@@ -47,7 +46,7 @@
         ttl: Micros,
     ) -> Election {
         Election {
-            clock,
+            clock: Clock,
             kv,
             store,
             membership,
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -1,21 +1,22 @@
-//! What the leader does during its term: scheduling cycles, their commits, the machine inventory, scale-out and scale-in.
+//! Leading: elections, and what the leader does during its term: scheduling cycles, their commits, the machine inventory, scale-out and scale-in.
 
 mod commit;
 mod cycles;
+mod elections;
 mod fleet;
 mod inventory;
 mod provisioning;
 
 use crate::clock::Clock;
 use crate::cloud::Cloud;
-use crate::config::Platform;
+use crate::config::{Platform, Settings};
 use crate::election::Election;
 use crate::kv::KvClient;
 use crate::membership::Membership;
 use crate::pause_detector::PauseDetector;
 use crate::state_loss::StateLossRecovery;
 use crate::store::StateCache;
-use crate::term::{LeaderTerm, TermEnd};
+use crate::term::{CurrentTerm, LeaderTerm, TermEnd};
 use crate::units::Micros;
 use futures_lite::FutureExt;
 use std::rc::Rc;
@@ -29,12 +30,14 @@
 /// Pause before a transaction is sent again.
 const RETRY_PAUSE: Micros = Micros::millis(120);
 
-/// The parts of a controller that a leader's duties use.
+/// The parts of a controller that leading takes.
 pub struct Leader {
     /// The clock.
     pub clock: Clock,
     /// The platform's settings.
     pub platform: Rc<Platform>,
+    /// The operators' settings.
+    pub settings: Rc<Settings>,
     /// The state service.
     pub kv: Rc<KvClient>,
     /// The cached view.
@@ -43,8 +46,10 @@
     pub cloud: Rc<Cloud>,
     /// The other controllers.
     pub membership: Rc<Membership>,
-    /// Renews the lease.
-    pub election: Rc<Election>,
+    /// The term that this controller leads, for the duties that must know it.
+    pub current_term: Rc<CurrentTerm>,
+    /// Wins and renews the lease.
+    pub election: Election,
     /// Recovery after a loss of stored state.
     pub state_loss: Rc<StateLossRecovery>,
     /// Process pauses.
@@ -57,7 +62,7 @@
     /// All duties of the term end together, wherever they are. A request that is under way then may still be carried out:
     /// writes are conditional on the leader key, and commands are sent in answers to heartbeats only, which look at the
     /// lease.
-    pub async fn run_term(&self, term: &LeaderTerm) -> TermEnd {
+    async fn run_term(&self, term: &LeaderTerm) -> TermEnd {
         // The leader does most of the reading and writing: half of the budget is its own.
         let limits = &self.platform.facts.state;
         self.kv.set_share(limits.rps / 2.0, limits.write_rps / 2.0);
--- /dev/null
+++ b/src/leader/elections.rs
@@ -0,0 +1,67 @@
+//! From election to election: standing, leading when elected, and giving the leadership up.
+
+use super::Leader;
+use crate::term::{LeaderLease, LeaderTerm, TermEnd};
+use futures_lite::FutureExt;
+use log::info;
+use std::rc::Rc;
+
+impl Leader {
+    /// Stands for election and leads when elected, for ever.
+    pub async fn run(&self) {
+        loop {
+            let lease = self.election.acquire().await;
+            if let Some(end) = self.restore(&lease).await {
+                log_term_end(lease.token, end);
+                self.election.resign(&lease).await;
+                continue;
+            }
+            self.store.record_changes(true);
+            let term = Rc::new(self.begin_term(lease));
+            self.membership.set_own_term(Some(term.token()));
+            self.current_term.set(Some(term.clone()));
+            let end = self.run_term(&term).await;
+            self.current_term.set(None);
+            self.membership.set_own_term(None);
+            self.store.record_changes(false);
+            log_term_end(term.token(), end);
+            self.take_followers_share();
+            if self.membership.cluster_status().token == term.token() {
+                self.election.resign(term.lease()).await;
+            }
+        }
+    }
+
+    /// A term under this lease, with all that the view holds.
+    pub(crate) fn begin_term(&self, lease: LeaderLease) -> LeaderTerm {
+        LeaderTerm::new(
+            &self.platform,
+            &self.settings,
+            self.membership.incarnation(),
+            lease,
+            &self.store.view.borrow(),
+        )
+    }
+
+    /// Restores what was lost, if anything was, while the lease lasts; returns why it could not.
+    async fn restore(&self, lease: &LeaderLease) -> Option<TermEnd> {
+        let hold = async { Some(self.election.hold(lease).await) };
+        let restore = async { self.state_loss.restore(lease).await.err() };
+        restore.or(hold).await
+    }
+
+    /// Takes a follower's share of the state service's budget: all controllers' are the same.
+    fn take_followers_share(&self) {
+        let limits = &self.platform.facts.state;
+        let size = self.platform.facts.size as f64;
+        self.kv
+            .set_share(limits.rps / size, limits.write_rps / size);
+    }
+}
+
+fn log_term_end(token: u64, end: TermEnd) {
+    info!(
+        "event=leader_term_ended token={token} reason={:?}",
+        end.to_string()
+    );
+}
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -51,15 +51,15 @@
 
 impl Membership {
     /// A controller that has not heard from any other yet.
-    pub fn new(platform: &Platform, store: Rc<StateCache>, clock: Clock) -> Membership {
+    pub fn new(platform: &Platform, store: Rc<StateCache>) -> Membership {
         Membership {
-            clock,
+            clock: Clock,
             node: platform.node.clone(),
             zone: platform.zone.clone(),
             members: platform.members.clone(),
             store,
             incarnation: fastrand::u64(..) >> 12,
-            started_at: clock.now(),
+            started_at: Clock.now(),
             own_term: Cell::new(None),
             highest_token_seen: Cell::new(0),
             partition_reported_at: Cell::new(Micros::ZERO),
--- a/src/state_loss.rs
+++ b/src/state_loss.rs
@@ -55,14 +55,13 @@
     pub fn new(
         platform: &Platform,
         settings: &Settings,
-        clock: Clock,
         kv: Rc<KvClient>,
         store: Rc<StateCache>,
         membership: Rc<Membership>,
         cancellations: Rc<CancellationService>,
     ) -> StateLossRecovery {
         StateLossRecovery {
-            clock,
+            clock: Clock,
             kv,
             store,
             membership,
--- a/src/term.rs
+++ b/src/term.rs
@@ -44,9 +44,8 @@
         incarnation: u64,
         lease: LeaderLease,
         view: &View,
-        clock: Clock,
     ) -> LeaderTerm {
-        let now = clock.now();
+        let now = Clock.now();
         let mut scheduler = Scheduler::new(
             settings.scheduler_config(platform),
             platform.teams(),
@@ -54,7 +53,7 @@
             incarnation ^ lease.token,
             now,
         );
-        inherit(&mut scheduler, view, clock, now);
+        inherit(&mut scheduler, view, now);
         LeaderTerm {
             lease,
             scheduler: RefCell::new(scheduler),
@@ -149,13 +148,13 @@
 }
 
 /// Gives a new scheduler what earlier leaders left.
-fn inherit(scheduler: &mut Scheduler, view: &View, clock: Clock, now: Micros) {
+fn inherit(scheduler: &mut Scheduler, view: &View, now: Micros) {
     if let Some(machine_types) = &view.machine_types {
         scheduler.set_machine_types(&machine_types.value);
     }
     for record in view.provisioning.values() {
         if let Some(machines) = &record.machines {
-            let age = Micros(clock.unix_time().saturating_sub(record.at));
+            let age = Micros(Clock.unix_time().saturating_sub(record.at));
             scheduler.inherit_provisioned(&record.pool(), machines, age, now);
         }
     }
