--- a/src/cancellation.rs
+++ b/src/cancellation.rs
@@ -12,13 +12,14 @@
 use crate::scheduler::{Heartbeat, JobId, MachineId, TaskState};
 use crate::units::Micros;
 use ravenhead_index::{Cursor, CursorLog};
+use ravenhead_recovery::HeartbeatPosition;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A start that was sent just before a cancellation can still arrive for so long: a worker waits four seconds for it.
 const COMMAND_DELIVERY_TIMEOUT: Micros = Micros::secs(5);
-/// Most bytes of names told in one message, a single cancellation aside: that goes whole, and fits into a frame.
+/// Most bytes of names sent in one message, a single cancellation aside: that goes whole, and fits into a frame.
 const MAX_CANCELLATION_BYTES: usize = 256 * 1024;
-/// Most finds of machines without cancelled tasks told in one message; the others follow in the next.
+/// Most findings of machines without cancelled tasks sent in one message; the others follow in the next.
 const MAX_CLEARED_PER_MESSAGE: usize = 8_192;
 
 /// What is known of a machine on which cancelled tasks may be left.
@@ -26,21 +27,36 @@
 enum Residue {
     /// Nothing that shows them gone.
     Possible,
-    /// One report without them, of this agent epoch and number.
-    AbsentOnce((u64, u64)),
+    /// One heartbeat without them, at this position.
+    AbsentOnce(HeartbeatPosition),
     /// They are gone.
     Cleared,
 }
 
+impl Residue {
+    /// What is known after a heartbeat at this position, in which tasks of the job are active or are not.
+    fn after(self, at: HeartbeatPosition, is_active: bool) -> Residue {
+        match self {
+            Residue::Cleared => Residue::Cleared,
+            _ if is_active => Residue::Possible,
+            Residue::Possible => Residue::AbsentOnce(at),
+            Residue::AbsentOnce(before) if at > before => Residue::Cleared,
+            Residue::AbsentOnce(before) => Residue::AbsentOnce(before),
+        }
+    }
+}
+
+/// What is known of a cancelled job.
 #[derive(Debug)]
 struct CancellationEntry {
-    at: u64,
+    /// When it was committed, by the time of day in microseconds.
+    committed_at: u64,
     machines: BTreeMap<MachineId, Residue>,
-    /// Whether users may be told: all controllers know, or what they can't stop will be returned.
+    /// Whether users may be told: all controllers know, or the machines whose tasks they can't stop will be terminated.
     confirmed: bool,
 }
 
-/// What another controller was told.
+/// What an incarnation of another controller acknowledged.
 #[derive(Debug, Default)]
 struct PeerAcknowledgements {
     incarnation: u64,
@@ -61,21 +77,22 @@
 }
 
 impl Cancellations {
-    /// Takes in a cancellation.
-    pub fn note(&mut self, c: &Cancellation) {
-        let known = self
+    /// Takes in a cancellation, and the machines on which its tasks may be.
+    pub fn insert(&mut self, cancellation: &Cancellation) {
+        let job = &cancellation.job;
+        let entry = self
             .entries
-            .entry(c.job.clone())
+            .entry(job.clone())
             .or_insert_with(|| CancellationEntry {
-                at: c.at,
+                committed_at: cancellation.at,
                 machines: BTreeMap::new(),
                 confirmed: false,
             });
-        for machine in &c.machines {
-            if !known.machines.contains_key(machine) {
-                known.machines.insert(machine.clone(), Residue::Possible);
+        for machine in &cancellation.machines {
+            if !entry.machines.contains_key(machine) {
+                entry.machines.insert(machine.clone(), Residue::Possible);
                 let jobs = self.residue_by_machine.entry(machine.clone()).or_default();
-                jobs.insert(c.job.clone());
+                jobs.insert(job.clone());
             }
         }
     }
@@ -91,14 +108,15 @@
     }
 
     /// Nothing of a cancelled job is left on a machine.
-    fn clear(&mut self, gone: ResidueCleared, unix_time: u64) {
-        self.stop_tracking(&gone.machine, &gone.job);
-        self.cleared.push((unix_time, gone));
+    fn clear(&mut self, cleared: ResidueCleared, unix_time: u64) {
+        self.stop_tracking(&cleared.machine, &cleared.job);
+        self.cleared.push((unix_time, cleared));
     }
 
     /// The cancellations that are known, and when each was committed.
     pub fn cancelled(&self) -> impl Iterator<Item = (&JobId, u64)> {
-        self.entries.iter().map(|(job, known)| (job, known.at))
+        let entries = self.entries.iter();
+        entries.map(|(job, entry)| (job, entry.committed_at))
     }
 
     /// Whether the job is known to be cancelled.
@@ -108,34 +126,35 @@
 
     /// Whether users may be told.
     pub fn is_confirmed(&self, job: &JobId) -> bool {
-        self.entries.get(job).is_some_and(|k| k.confirmed)
+        self.entries.get(job).is_some_and(|entry| entry.confirmed)
     }
 
     /// Whether nothing of a cancelled job is left anywhere.
     fn is_cleared(&self, job: &JobId) -> bool {
-        let known = self.entries.get(job);
-        known.is_some_and(|k| k.machines.values().all(|left| *left == Residue::Cleared))
+        let is_cleared = |residue: &Residue| *residue == Residue::Cleared;
+        let entry = self.entries.get(job);
+        entry.is_some_and(|entry| entry.machines.values().all(is_cleared))
     }
 
     fn confirm(&mut self, job: &JobId) {
-        if let Some(known) = self.entries.get_mut(job) {
-            known.confirmed = true;
+        if let Some(entry) = self.entries.get_mut(job) {
+            entry.confirmed = true;
         }
     }
 
-    /// What another controller was not told yet, as many as one message holds.
+    /// Returns what another controller has not acknowledged yet, as much as one message holds.
     pub fn unacknowledged(&self, peer: &str) -> Vec<Cancellation> {
-        let told = self.acknowledged.get(peer);
+        let acknowledged = self.acknowledged.get(peer);
         let mut bytes = 0;
         let unacknowledged = self
             .entries
             .iter()
-            .filter(|(job, _)| told.is_none_or(|t| !t.jobs.contains(*job)));
+            .filter(|(job, _)| acknowledged.is_none_or(|a| !a.jobs.contains(*job)));
         unacknowledged
-            .map(|(job, k)| Cancellation {
+            .map(|(job, entry)| Cancellation {
                 job: job.clone(),
-                at: k.at,
-                machines: k.machines.keys().cloned().collect(),
+                at: entry.committed_at,
+                machines: entry.machines.keys().cloned().collect(),
             })
             .take_while(|c| {
                 bytes += c.bytes();
@@ -149,113 +168,120 @@
     /// Guards against a controller that was told, ended, and is back without a memory of it: what its former self was
     /// told it is told again.
     pub fn acknowledge(&mut self, peer: &str, incarnation: u64, jobs: &[Cancellation]) {
-        let told = self.acknowledged.entry(peer.to_owned()).or_default();
-        if told.incarnation != incarnation {
-            *told = PeerAcknowledgements {
+        let acknowledged = self.acknowledged.entry(peer.to_owned()).or_default();
+        if acknowledged.incarnation != incarnation {
+            *acknowledged = PeerAcknowledgements {
                 incarnation,
                 jobs: BTreeSet::new(),
             };
         }
-        told.jobs.extend(jobs.iter().map(|c| c.job.clone()));
+        acknowledged.jobs.extend(jobs.iter().map(|c| c.job.clone()));
     }
 
-    /// A heartbeat shows whether cancelled tasks are left on its machine: they are gone once two heartbeats in a row, from after
-    /// the time in which a start could still arrive, show none.
-    pub fn on_report(&mut self, r: &Heartbeat, unix_time: u64) {
-        let Some(jobs) = self.residue_by_machine.get(&r.machine) else {
+    /// Takes in what a heartbeat shows of cancelled tasks on its machine: they are gone once two heartbeats in a row, from
+    /// after the time in which a start could still arrive, show none.
+    pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, unix_time: u64) {
+        let machine = &heartbeat.machine;
+        let Some(jobs) = self.residue_by_machine.get(machine) else {
             return;
         };
-        let at = (r.agent_epoch, r.sequence);
-        let active = r.tasks.iter().filter(|t| t.state != TaskState::Exited);
-        let active: BTreeSet<&str> = active
-            .filter_map(|t| t.task.split_once('/').map(|(job, _)| job))
-            .collect();
-        let mut gone = Vec::new();
+        let active = active_jobs(heartbeat);
+        let at = heartbeat.position();
+        let mut cleared = Vec::new();
         for job in jobs {
-            let Some(known) = self.entries.get_mut(job) else {
+            let Some(entry) = self.entries.get_mut(job) else {
                 continue;
             };
-            if unix_time < known.at.saturating_add(COMMAND_DELIVERY_TIMEOUT.0) {
+            let starts_until = entry
+                .committed_at
+                .saturating_add(COMMAND_DELIVERY_TIMEOUT.0);
+            if unix_time < starts_until {
                 continue;
             }
-            let Some(left) = known.machines.get_mut(&r.machine) else {
+            let Some(residue) = entry.machines.get_mut(machine) else {
                 continue;
             };
-            *left = match *left {
-                Residue::Cleared => Residue::Cleared,
-                _ if active.contains(job.0.as_str()) => Residue::Possible,
-                Residue::Possible => Residue::AbsentOnce(at),
-                Residue::AbsentOnce(before) if at > before => {
-                    gone.push(job.clone());
-                    Residue::Cleared
-                }
-                Residue::AbsentOnce(before) => Residue::AbsentOnce(before),
-            };
+            let next = residue.after(at, active.contains(job.0.as_str()));
+            if next == Residue::Cleared && *residue != Residue::Cleared {
+                cleared.push(job.clone());
+            }
+            *residue = next;
         }
-        for job in gone {
-            let machine = r.machine.clone();
+        for job in cleared {
+            let machine = machine.clone();
             self.clear(ResidueCleared { job, machine }, unix_time);
         }
     }
 
     /// Tasks of these jobs are gone from these machines.
-    pub fn on_residue_cleared(&mut self, found: &[ResidueCleared], unix_time: u64) {
-        for gone in found {
-            let left = self
-                .entries
-                .get_mut(&gone.job)
-                .and_then(|k| k.machines.get_mut(&gone.machine));
-            if let Some(left) = left.filter(|l| **l != Residue::Cleared) {
-                *left = Residue::Cleared;
-                self.clear(gone.clone(), unix_time);
+    pub fn on_residue_cleared(&mut self, cleared: &[ResidueCleared], unix_time: u64) {
+        for cleared in cleared {
+            let entry = self.entries.get_mut(&cleared.job);
+            let residue = entry.and_then(|entry| entry.machines.get_mut(&cleared.machine));
+            if let Some(residue) = residue.filter(|r| **r != Residue::Cleared) {
+                *residue = Residue::Cleared;
+                self.clear(cleared.clone(), unix_time);
             }
         }
     }
 
-    /// The place from which a reader gets what is found gone from now on.
+    /// Returns the place from which a reader gets what is found cleared from now on.
     pub fn residue_cleared_cursor(&self) -> Cursor {
         self.cleared.end()
     }
 
-    /// What was found gone from a place on, as much as one message holds, and the place after it.
+    /// Returns what was found cleared from a place on, as much as one message holds, and the place after it.
     pub fn residue_cleared_since(&self, from: Cursor) -> (Vec<ResidueCleared>, Cursor) {
         let (found, next) = self.cleared.read(from, MAX_CLEARED_PER_MESSAGE);
-        (found.map(|(_, gone)| gone.clone()).collect(), next)
+        (found.map(|(_, cleared)| cleared.clone()).collect(), next)
     }
 
-    /// Machines on which tasks of jobs that were cancelled longer ago than this may be left.
-    pub fn overdue(&self, unix_time: u64, patience: Micros) -> Vec<ResidueCleared> {
-        let old = self
-            .entries
-            .iter()
-            .filter(|(_, k)| unix_time > k.at.saturating_add(patience.0));
-        let left = old.flat_map(|(job, k)| {
-            let left = k.machines.iter().filter(|(_, l)| **l != Residue::Cleared);
-            left.map(|(machine, _)| ResidueCleared {
+    /// Returns machines on which tasks of jobs that were cancelled longer ago than `grace_period` may be left: what is to be
+    /// cleared.
+    pub fn overdue(&self, unix_time: u64, grace_period: Micros) -> Vec<ResidueCleared> {
+        let is_overdue = |entry: &CancellationEntry| {
+            unix_time > entry.committed_at.saturating_add(grace_period.0)
+        };
+        let overdue = self.entries.iter().filter(|(_, entry)| is_overdue(entry));
+        let residue = overdue.flat_map(|(job, entry)| {
+            let machines = entry.machines.iter();
+            let residue = machines.filter(|(_, residue)| **residue != Residue::Cleared);
+            residue.map(|(machine, _)| ResidueCleared {
                 job: job.clone(),
                 machine: machine.clone(),
             })
         });
-        left.collect()
+        residue.collect()
     }
 
-    /// Forgets what is older than this.
-    pub fn forget(&mut self, unix_time: u64, kept: Micros) {
-        let old = |at: u64| unix_time > at.saturating_add(kept.0);
-        let known = self.entries.iter().filter(|(_, k)| old(k.at));
-        let over: Vec<JobId> = known.map(|(job, _)| job.clone()).collect();
-        for job in over {
-            let machines = self.entries.remove(&job).map(|k| k.machines);
+    /// Forgets what is older than `retention`.
+    pub fn forget(&mut self, unix_time: u64, retention: Micros) {
+        let is_expired = |at: u64| unix_time > at.saturating_add(retention.0);
+        let entries = self.entries.iter();
+        let expired = entries.filter(|(_, entry)| is_expired(entry.committed_at));
+        let expired: Vec<JobId> = expired.map(|(job, _)| job.clone()).collect();
+        for job in expired {
+            let machines = self.entries.remove(&job).map(|entry| entry.machines);
             for machine in machines.unwrap_or_default().into_keys() {
                 self.stop_tracking(&machine, &job);
             }
-            for told in self.acknowledged.values_mut() {
-                told.jobs.remove(&job);
+            for acknowledged in self.acknowledged.values_mut() {
+                acknowledged.jobs.remove(&job);
             }
         }
-        self.cleared.drop_while(|(at, _)| old(*at));
+        self.cleared.drop_while(|(at, _)| is_expired(*at));
     }
 }
 
+/// The jobs whose tasks a heartbeat shows, other than as exited.
+fn active_jobs(heartbeat: &Heartbeat) -> BTreeSet<&str> {
+    let active = heartbeat
+        .tasks
+        .iter()
+        .filter(|t| t.state != TaskState::Exited);
+    let jobs = active.filter_map(|t| t.task.split_once('/').map(|(job, _)| job));
+    jobs.collect()
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/cancellation/service.rs
+++ b/src/cancellation/service.rs
@@ -3,7 +3,7 @@
 use super::Cancellations;
 use crate::clock::{Clock, sleep};
 use crate::cloud::{Cloud, MAX_MACHINES_PER_TERMINATION};
-use crate::http::{join_all, timeout};
+use crate::futures::{join_all, timeout};
 use crate::membership::Membership;
 use crate::peer::{Cancellation, Peer, PeerRequest, ResidueCleared};
 use crate::scheduler::{Heartbeat, JobEnd, JobId, JobOutcome, MachineId};
@@ -72,7 +72,7 @@
     /// was committed, so that no watch tells the leader.
     pub fn record(&self, cancelled: &[Cancellation]) {
         for cancellation in cancelled {
-            self.registry.borrow_mut().note(cancellation);
+            self.registry.borrow_mut().insert(cancellation);
             if let Some(term) = self.current_term.get() {
                 let end = JobEnd {
                     outcome: JobOutcome::Aborted,
@@ -96,7 +96,9 @@
     /// Takes in what a heartbeat shows of cancelled tasks on its machine.
     pub fn on_heartbeat(&self, heartbeat: &Heartbeat) {
         let unix_time = self.clock.unix_time();
-        self.registry.borrow_mut().on_report(heartbeat, unix_time);
+        self.registry
+            .borrow_mut()
+            .on_heartbeat(heartbeat, unix_time);
     }
 
     /// Whether it is known here that a job's user cancelled it.
@@ -156,7 +158,7 @@
         }
         let cancellation = [cancellation];
         self.record(&cancellation);
-        let acknowledged = self.tell_peers(&cancellation).await;
+        let acknowledged = self.notify_peers(&cancellation).await;
         // What this process alone knows would be lost with it.
         let is_kept = acknowledged == self.peers.len()
             || self.registry.borrow().is_cleared(job)
@@ -180,8 +182,8 @@
         })
     }
 
-    /// Tells all other controllers; returns how many acknowledged.
-    async fn tell_peers(&self, cancelled: &[Cancellation]) -> usize {
+    /// Notifies all other controllers; returns how many acknowledged.
+    async fn notify_peers(&self, cancelled: &[Cancellation]) -> usize {
         let calls = self.peers.iter().map(|peer| {
             let ping = PeerRequest::Ping {
                 cancelled: cancelled.to_vec(),
@@ -244,7 +246,7 @@
                 .registry
                 .borrow()
                 .overdue(unix_time, self.cancel_limit.scaled(7, 10));
-            let residue = still_recorded(&self.store.view.borrow(), overdue);
+            let residue = retain_recorded(&self.store.view.borrow(), overdue);
             self.terminate(&residue, unix_time).await;
         }
     }
@@ -273,7 +275,7 @@
 }
 
 /// Those of these machines on which the view has tasks of the jobs, or all where there is no view.
-fn still_recorded(view: &View, overdue: Vec<ResidueCleared>) -> Vec<ResidueCleared> {
+fn retain_recorded(view: &View, overdue: Vec<ResidueCleared>) -> Vec<ResidueCleared> {
     if !view.loaded {
         return overdue;
     }
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -1,5 +1,8 @@
-use super::*;
+use super::{Cancellations, MAX_CANCELLATION_BYTES, MAX_CLEARED_PER_MESSAGE};
+use crate::peer::Cancellation;
 use crate::scheduler::TaskStatus;
+use crate::scheduler::{Heartbeat, JobId, MachineId, TaskState};
+use crate::units::Micros;
 
 fn machine(n: usize) -> MachineId {
     MachineId(format!("m-{n:06}"))
@@ -43,13 +46,13 @@
     let machines = 2 * MAX_CLEARED_PER_MESSAGE + 10;
     let mut c = Cancellations::default();
     let mut told = c.residue_cleared_cursor();
-    c.note(&cancellation(1, 0..machines));
+    c.insert(&cancellation(1, 0..machines));
     for n in 0..machines {
-        c.on_report(&report(n, 1, &[]), LATER);
-        c.on_report(&report(n, 2, &[]), LATER);
+        c.on_heartbeat(&report(n, 1, &[]), LATER);
+        c.on_heartbeat(&report(n, 2, &[]), LATER);
     }
     let mut other = Cancellations::default();
-    other.note(&cancellation(1, 0..machines));
+    other.insert(&cancellation(1, 0..machines));
     let mut messages = 0;
     loop {
         let (gone, next) = c.residue_cleared_since(told);
@@ -72,11 +75,11 @@
 #[test]
 fn a_machine_that_holds_a_cancelled_task_is_left_and_one_that_does_not_is_not() {
     let mut c = Cancellations::default();
-    c.note(&cancellation(1, 0..3));
-    c.note(&cancellation(2, 1..2));
+    c.insert(&cancellation(1, 0..3));
+    c.insert(&cancellation(2, 1..2));
     for sequence in 1..=3 {
-        c.on_report(&report(0, sequence, &["j-000001"]), LATER);
-        c.on_report(&report(1, sequence, &["j-000002", "j-000003"]), LATER);
+        c.on_heartbeat(&report(0, sequence, &["j-000001"]), LATER);
+        c.on_heartbeat(&report(1, sequence, &["j-000002", "j-000003"]), LATER);
     }
     let left = c.overdue(LATER, Micros::secs(1));
     let left: Vec<(&str, &str)> = left
@@ -98,9 +101,9 @@
 fn cancellations_are_told_in_messages_of_bounded_size_until_all_are_told() {
     let mut c = Cancellations::default();
     for job in 0..300 {
-        c.note(&cancellation(job, 0..1_000));
+        c.insert(&cancellation(job, 0..1_000));
     }
-    c.note(&cancellation(300, 0..50_000));
+    c.insert(&cancellation(300, 0..50_000));
     let mut told = 0;
     loop {
         let unacknowledged = c.unacknowledged("n-1");
--- a/src/controller/tasks.rs
+++ b/src/controller/tasks.rs
@@ -116,7 +116,7 @@
 ) -> Task<()> {
     ex.spawn(async move {
         work.await;
-        warn!("event=task_ended duty={name}");
+        warn!("event=background_task_ended duty={name}");
     })
 }
 
--- a/src/http.rs
+++ b/src/http.rs
@@ -5,7 +5,6 @@
 mod message;
 mod server;
 
-pub use crate::futures::{join_all, timeout};
 pub use client::{Client, HttpError};
 pub use message::{HttpRequest, HttpResponse};
 pub use server::{MAX_BODY, serve};
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -1,5 +1,6 @@
+use crate::futures::{join_all, timeout};
 use crate::http::server::RESPONSE_TIMEOUT;
-use crate::http::{Client, HttpError, HttpRequest, HttpResponse, join_all, serve, timeout};
+use crate::http::{Client, HttpError, HttpRequest, HttpResponse, serve};
 use crate::net::Listener;
 use crate::units::Micros;
 use futures_lite::future;
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -3,7 +3,7 @@
 use super::RETRY_PAUSE;
 use crate::clock::{Clock, sleep};
 use crate::cloud::{Cloud, CloudError, MAX_MACHINES_PER_PROVISIONING, ProvisioningRequest};
-use crate::http::join_all;
+use crate::futures::join_all;
 use crate::kv::{Change, KvClient, Outcome, Urgency};
 use crate::scheduler::{MachineId, ScaleOutRequest};
 use crate::store::{ProvisioningRecord, provisioning_key};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,7 @@
 //! ravenhead, a cluster scheduler whose controllers keep their state only in a state service.
 //!
-//! See `docs/design.md` for how it works and what guards each rule.
+//! `docs/architecture.md` says where each duty lives and who owns which state; `docs/design.md` why it is so.
+//! Modules depend downwards only: program, composition (`controller`), duties, shared parts, state, the pure core, base.
 
 #![warn(missing_docs)]
 
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -3,7 +3,7 @@
 use super::frame::{read_frame, write_frame};
 use super::messages::{ClusterStatus, Frame, PeerReply, PeerRequest};
 use crate::clock::Clock;
-use crate::http::timeout;
+use crate::futures::timeout;
 use crate::net::Stream;
 use crate::units::Micros;
 use std::cell::RefCell;
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -2,7 +2,7 @@
 
 use super::frame::{read_frame, write_frame};
 use super::messages::{Frame, PeerReply, PeerRequest};
-use crate::http::timeout;
+use crate::futures::timeout;
 use crate::net::Stream;
 use crate::units::Micros;
 use std::future::Future;
--- a/src/store/barrier.rs
+++ b/src/store/barrier.rs
@@ -7,7 +7,7 @@
 use super::StateCache;
 use super::keys::ABSENT_KEY;
 use crate::clock::sleep;
-use crate::http::timeout;
+use crate::futures::timeout;
 use crate::kv::{Lookup, Urgency};
 use crate::units::Micros;
 use event_listener::Event;
--- a/src/store/follow.rs
+++ b/src/store/follow.rs
@@ -7,7 +7,7 @@
 use super::keys::PREFIX;
 use super::view::{View, ViewChange};
 use crate::clock::sleep;
-use crate::http::timeout;
+use crate::futures::timeout;
 use crate::kv::{Event as KeyEvent, Item, KvError};
 use crate::units::Micros;
 use futures_lite::FutureExt;
--- a/src/term.rs
+++ b/src/term.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::Clock;
 use crate::config::{Platform, Settings};
-use crate::http::timeout;
+use crate::futures::timeout;
 use crate::kv::Condition;
 use crate::scheduler::{JobId, Scheduler};
 use crate::store::{LEADER, ProvisioningRecord, View, ViewChange};
@@ -22,7 +22,7 @@
 /// A term of leading.
 ///
 /// Invariants: everything that the scheduler decides is decided under [`LeaderTerm::token`]; nothing is written but
-/// under [`LeaderTerm::leader_condition`]; commands leave only while [`LeaderTerm::may_send_commands`] holds.
+/// under its leader condition; commands leave only while [`LeaderTerm::may_send_commands`] holds.
 pub struct LeaderTerm {
     lease: LeaderLease,
     /// The scheduler of this term.
