--- a/src/main.rs
+++ b/src/main.rs
@@ -2,13 +2,25 @@
 
 use async_executor::LocalExecutor;
 use clap::Parser;
-use log::{LevelFilter, warn};
+use env_logger::fmt::Formatter;
+use log::{LevelFilter, Record, warn};
 use ravenhead::config::{ConfigError, Platform, Settings};
 use ravenhead::controller::{self, Controller};
+use std::io::{self, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::rc::Rc;
 
+/// A controller ended by itself: it could not listen at its addresses.
+const EXIT_CANNOT_LISTEN: ExitCode = ExitCode::FAILURE;
+/// A settings file was refused. The command line's own errors end with the same code.
+const EXIT_INVALID_SETTINGS: u8 = 2;
+
+/// The variable that sets the log level: error, info or debug.
+const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
+/// The log level where the variable is not set or not understood.
+const DEFAULT_LOG_LEVEL: LevelFilter = LevelFilter::Info;
+
 /// A controller of the ravenhead cluster scheduler.
 ///
 /// Takes jobs from users, rents machines from a cloud and tells workers what to run. State is kept only in the state
@@ -30,30 +42,33 @@
 fn main() -> ExitCode {
     let args = Args::parse();
     start_log();
-    match load(&args) {
+    match load_settings(&args) {
         Ok(_) if args.check => {
             println!("settings are fine");
             ExitCode::SUCCESS
         }
-        Ok((platform, settings)) => {
-            let ex = LocalExecutor::new();
-            let node = Rc::new(Controller::new(platform, settings));
-            match async_io::block_on(ex.run(controller::run(&ex, node))) {
-                Ok(()) => ExitCode::SUCCESS,
-                Err(e) => {
-                    eprintln!("ravenhead: cannot listen: {e}");
-                    ExitCode::FAILURE
-                }
-            }
-        }
+        Ok((platform, settings)) => run(platform, settings),
         Err(e) => {
             eprintln!("ravenhead: {e}");
-            ExitCode::from(2)
+            ExitCode::from(EXIT_INVALID_SETTINGS)
+        }
+    }
+}
+
+/// Runs a controller until it ends.
+fn run(platform: Platform, settings: Settings) -> ExitCode {
+    let ex = LocalExecutor::new();
+    let controller = Rc::new(Controller::new(platform, settings));
+    match async_io::block_on(ex.run(controller::run(&ex, controller))) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(e) => {
+            eprintln!("ravenhead: cannot listen: {e}");
+            EXIT_CANNOT_LISTEN
         }
     }
 }
 
-fn load(args: &Args) -> Result<(Platform, Settings), ConfigError> {
+fn load_settings(args: &Args) -> Result<(Platform, Settings), ConfigError> {
     let platform = Platform::load(&args.config)?;
     let settings = match &args.settings {
         Some(path) => Settings::load(path)?,
@@ -62,24 +77,31 @@
     Ok((platform, settings))
 }
 
+/// Starts the log on standard error. The level asked for holds for this program; of its libraries only errors are logged.
 fn start_log() {
-    let asked = std::env::var("LOG_LEVEL").unwrap_or_default();
-    let level = match asked.as_str() {
+    let requested = std::env::var(LOG_LEVEL_VARIABLE).unwrap_or_default();
+    let level = parse_level(&requested);
+    env_logger::Builder::new()
+        .filter_level(LevelFilter::Error)
+        .filter_module("ravenhead", level.unwrap_or(DEFAULT_LOG_LEVEL))
+        .format(write_record)
+        .init();
+    if level.is_none() && !requested.is_empty() {
+        warn!("event=invalid_log_level value={requested:?} using=info");
+    }
+}
+
+fn parse_level(name: &str) -> Option<LevelFilter> {
+    match name {
         "error" => Some(LevelFilter::Error),
         "info" => Some(LevelFilter::Info),
         "debug" => Some(LevelFilter::Debug),
         _ => None,
-    };
-    env_logger::Builder::new()
-        .filter_level(LevelFilter::Error)
-        .filter_module("ravenhead", level.unwrap_or(LevelFilter::Info))
-        .format(|out, record| {
-            use std::io::Write;
-            let level = record.level().as_str().to_lowercase();
-            writeln!(out, "level={level} {}", record.args())
-        })
-        .init();
-    if level.is_none() && !asked.is_empty() {
-        warn!("event=invalid_log_level value={asked:?} using=info");
     }
 }
+
+/// Writes a record as one line of `key=value` pairs, the level first.
+fn write_record(out: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
+    let level = record.level().as_str().to_lowercase();
+    writeln!(out, "level={level} {}", record.args())
+}
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,48 +1,55 @@
-//! Time in whole microseconds and resource amounts in whole millionths.
+//! Time in whole microseconds and resource amounts in whole millionths, so that sums are exact.
+//!
+//! Additions saturate: an absurd amount in a message must not end the process.
 
 use std::fmt;
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 use std::time::Duration;
 
-/// A span of time, or a point on the process's own steady clock, in microseconds.
+/// A duration, or a point on the monotonic clock of this process, in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// No time at all.
+    /// A duration of zero.
     pub const ZERO: Micros = Micros(0);
 
-    /// Whole milliseconds.
+    /// Creates a duration from whole milliseconds.
     pub const fn millis(ms: u64) -> Micros {
         Micros(ms * 1_000)
     }
 
-    /// Whole seconds.
+    /// Creates a duration from whole seconds.
     pub const fn secs(s: u64) -> Micros {
         Micros(s * 1_000_000)
     }
 
-    /// Decimal seconds as they stand in settings and messages; what is negative or not finite is zero.
+    /// Creates a duration from decimal seconds, rounded to the nearest microsecond. Negative numbers and NaN become zero; what
+    /// is too large becomes the greatest duration.
     pub fn from_secs_f64(s: f64) -> Micros {
         Micros((s.max(0.0) * 1e6).round() as u64)
     }
 
-    /// Decimal seconds.
+    /// Returns the duration in decimal seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// Whole milliseconds, rounded down.
+    /// Returns the duration in whole milliseconds, rounded down.
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// `self` less `other`, and zero where that would be negative.
+    /// Returns the time from `other` to `self`, or zero where `other` is later.
     pub const fn since(self, other: Micros) -> Micros {
         Micros(self.0.saturating_sub(other.0))
     }
 
-    /// `self` times `num` over `den`.
+    /// Returns `self` times `num` over `den`, rounded down.
+    ///
+    /// # Panics
+    ///
+    /// Panics if `den` is zero.
     pub const fn scaled(self, num: u64, den: u64) -> Micros {
         Micros(self.0.saturating_mul(num) / den)
     }
@@ -68,18 +75,20 @@
 }
 
 /// What a task takes of a machine, or what a machine has: each in millionths of its unit.
+///
+/// Whole numbers, as ten tasks of a tenth of a core must fill exactly one core.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Resources {
-    /// Processors.
+    /// Processor cores.
     pub cores: i64,
     /// Accelerators.
     pub accelerators: i64,
-    /// Memory in GB.
+    /// Memory, in GB.
     pub memory: i64,
 }
 
 impl Resources {
-    /// From the decimal numbers of the wire.
+    /// Creates it from decimal amounts, as messages and settings have them; memory in GB.
     pub fn new(cores: f64, accelerators: f64, ram_gb: f64) -> Resources {
         let whole = |x: f64| (x * 1e6).round() as i64;
         Resources {
@@ -89,19 +98,19 @@
         }
     }
 
-    /// Its amounts one after the other.
+    /// Returns cores, accelerators and memory, in this order.
     pub fn amounts(&self) -> [i64; 3] {
         [self.cores, self.accelerators, self.memory]
     }
 
-    /// Whether `need` fits into this room.
+    /// Returns whether `need` fits into these resources.
     pub fn holds(&self, need: &Resources) -> bool {
         need.cores <= self.cores
             && need.accelerators <= self.accelerators
             && need.memory <= self.memory
     }
 
-    /// How many tasks of `need` fit into this room.
+    /// Returns how many tasks of `need` fit into these resources; `usize::MAX` where `need` is nothing.
     pub fn count_of(&self, need: &Resources) -> usize {
         let times = |have: i64, need: i64| {
             if need <= 0 {
@@ -115,7 +124,7 @@
             .min(times(self.memory, need.memory))
     }
 
-    /// The most that fits into both.
+    /// Returns the lesser amount of each resource.
     pub fn min(&self, other: &Resources) -> Resources {
         Resources {
             cores: self.cores.min(other.cores),
@@ -124,7 +133,7 @@
         }
     }
 
-    /// The same room `n` times.
+    /// Returns `n` times these resources.
     pub fn times(&self, n: usize) -> Resources {
         let n = n as i64;
         Resources {
--- a/src/units/tests.rs
+++ b/src/units/tests.rs
@@ -1,4 +1,4 @@
-use super::*;
+use crate::units::Resources;
 
 #[test]
 fn decimal_amounts_add_up_exactly() {
