--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -30,7 +30,7 @@
 
 /// Serves one connection until it ends, idles for longer than `idle` returns at the moment, or breaks the protocol.
 ///
-/// Guards against: heads without an end ([`BoundedStream`]), bodies over the limit (refused before they are read), heads
+/// Guards against: heads without an end (`BoundedStream`), bodies over the limit (refused before they are read), heads
 /// or bodies that trickle in (bounded time), readers that do not take their response (bounded time), responses from
 /// before a pause of this process, which by then are out of date (not sent).
 pub async fn serve<F, Fut>(stream: Stream, idle: impl Fn() -> Micros, handle: F)
