--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -1,4 +1,4 @@
-//! The machines that a scheduling cycle may offer jobs to, indexed by their free room, so that what is full is never looked at.
+//! The machines that a scheduling cycle may offer jobs to, indexed by their free resources, so that full ones are skipped.
 
 use super::ids::MachineId;
 use super::machine::{MAX_TASKS_PER_MACHINE, Machine};
@@ -113,7 +113,7 @@
     by_image: HashMap<String, ImageIndex>,
 }
 
-/// The free room of those candidates that have an image.
+/// The free resources of those candidates that have an image.
 ///
 /// Guards against looking, for each job, at every machine that has its image, most of which are full by then.
 struct ImageIndex {
@@ -195,7 +195,7 @@
         &self.machines[i]
     }
 
-    /// The place of a machine, if it is a candidate.
+    /// The position of a machine, if it is a candidate.
     pub(super) fn position(&self, id: &MachineId) -> Option<usize> {
         self.machines.binary_search_by(|m| m.id.cmp(id)).ok()
     }
@@ -206,13 +206,13 @@
         self.take(i, need);
     }
 
-    /// Room of a candidate is spoken for.
+    /// Resources of a candidate are reserved.
     pub(super) fn take(&mut self, i: usize, need: &Resources) {
         self.machines[i].free -= *need;
         self.update_index(i);
     }
 
-    /// Room of a candidate, which a placement had taken, is free again.
+    /// Resources of a candidate, which a placement had taken, are free again.
     pub(super) fn take_back(&mut self, i: usize, need: &Resources) {
         self.machines[i].free += *need;
         self.machines[i].tasks -= 1;
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Looks up who has an image, once a scheduling cycle.
+    /// Indexes the candidates that have an image, once a scheduling cycle.
     pub(super) fn index_image(&mut self, image: &str, machines: &BTreeMap<MachineId, Machine>) {
         if self.by_image.contains_key(image) {
             return;
@@ -250,7 +250,7 @@
         self.by_image.insert(image.to_owned(), known);
     }
 
-    /// The machines of a command that have an image, or were cleared.
+    /// The machines of a search order that have an image, or were cleared.
     pub(super) fn with_image(
         &self,
         order: &SearchOrder,
@@ -301,7 +301,7 @@
         }
     }
 
-    /// The first candidate of a kind at or after a place that has so much room.
+    /// The first candidate of a kind at or after a position that fits.
     fn first_from(&mut self, kind: Kind, from: usize, need: &Resources) -> Option<usize> {
         let machines = &self.machines;
         let need = need.amounts();
--- a/src/scheduler/commands.rs
+++ b/src/scheduler/commands.rs
@@ -8,7 +8,7 @@
 use crate::units::Micros;
 use ravenhead_recovery::HeartbeatPosition;
 
-/// Most commands in one answer, so that its line stays below the protocol's limit.
+/// Maximum of commands in one answer, so that its line stays below the protocol's limit.
 const MAX_COMMANDS: usize = 400;
 
 impl Scheduler {
@@ -117,7 +117,7 @@
         })
     }
 
-    /// The cloud will take the machine: what can save does so now, what has not begun goes elsewhere.
+    /// Drains a machine that the cloud will preempt: what can save does so now, what has not begun goes elsewhere.
     pub(super) fn drain_for_notice(&mut self, machine: &MachineId) {
         let Some(m) = self.machines.get(machine) else {
             return;
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -1,5 +1,5 @@
-//! Consolidation: services that stand scattered over half-empty machines are moved together, one at a time, so that machines
-//! can go back. The ordinary path gathers load on low ids only as tasks come; services stay where they once were.
+//! Consolidation: services scattered over half-empty machines are moved together, one at a time, so that machines
+//! can be terminated. Offers gather load on low ids only as tasks arrive; services stay where they once were placed.
 
 use super::events::SchedulerEvent;
 use super::ids::{MachineId, TaskId};
@@ -13,7 +13,7 @@
 use crate::units::{Micros, Resources};
 use std::collections::HashMap;
 
-/// Room must have been to spare for so long before a machine is consolidated.
+/// Capacity must have been spare for so long before a machine is consolidated.
 const MIN_SPARE_PERIOD: Micros = Micros::secs(30);
 /// Time between two moves of few replicas, so that no short while sees many of them down.
 const BETWEEN_MOVES: Micros = Micros::secs(30);
@@ -23,15 +23,15 @@
 const REPLICAS_PER_CONSOLIDATION: usize = 20;
 /// A moved task is at its new place within this.
 const MOVE_TIMEOUT: Micros = Micros::secs(5);
-/// Targets looked at in one plan.
+/// Targets examined in one plan.
 const MAX_TARGETS_EXAMINED: usize = 20_000;
-/// After its stop a task is told as gone within half a second, and its start is written in far less.
+/// After its stop a task is reported gone within half a second, and its start is written in far less.
 const HANDOVER: Micros = Micros::millis(600);
 
-/// What consolidation remembers.
+/// The state of consolidation.
 #[derive(Debug, Default)]
 pub(super) struct Consolidation {
-    /// Since when there was always room to spare.
+    /// Since when there was always spare capacity.
     spare_since: Option<Micros>,
     /// When a task was last moved.
     moved_at: Micros,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Machines with free room by the images that they have, and what is promised of it.
+/// Machines with free resources by the images that they have, and what is reserved of these in this plan.
 struct Targets<'a> {
     by_image: HashMap<&'a str, Vec<(&'a MachineId, &'a Machine)>>,
     reserved: HashMap<&'a MachineId, Resources>,
@@ -54,7 +54,7 @@
 }
 
 impl Scheduler {
-    /// Picks machines to consolidate, or lets go of them when their room is needed after all.
+    /// Picks machines to consolidate, or cancels that when their resources are needed after all.
     pub(super) fn plan_consolidation(&mut self, reserve: Option<&Reserve>, now: Micros) {
         // A task that is being moved waits as well; it must not end the consolidation that it comes from.
         let waits = |j: &Job| j.waiting() > 0 && j.moving_until <= now && !j.crash_looping;
@@ -95,7 +95,7 @@
             self.consolidation.spare_since = None;
             return;
         }
-        // Nothing is moved while a controller is missed; but one lost ping does not undo the wait for room to spare.
+        // Nothing is moved while a controller is unreachable; but one lost ping does not reset the spare period.
         if !self.failure_detector.is_stable() {
             return;
         }
@@ -138,7 +138,7 @@
     }
 
     /// The machines with the fewest services, the highest ids first among equals, if all that they hold are services
-    /// that run and would find room elsewhere, the reserve untouched.
+    /// that run and would fit elsewhere, the reserve untouched.
     fn machines_to_consolidate(
         &self,
         reserve: Option<&Reserve>,
@@ -250,7 +250,7 @@
         (job.spec.shape == Shape::Service && runs && !job.ending).then_some(job)
     }
 
-    /// Whether a machine would take a task of the job, which leaves another zone, in so much room and without a fetch.
+    /// Whether a machine with these resources free would take a task of the job, which leaves another zone, without a fetch.
     fn would_take(
         &self,
         job: &Job,
@@ -295,7 +295,7 @@
             .map(|(id, _)| id.clone())?;
         self.consolidation.moved_at = now;
         let job = self.jobs.get_mut(&task.job)?;
-        // The place is spoken for until the task has had time to come.
+        // The place is reserved until the task has had time to start there.
         job.moving_until = now + MOVE_TIMEOUT;
         job.reservations.push((target, job.moving_until));
         self.job_index.add_pending_reservation(&task.job);
--- a/src/scheduler/failure_attribution.rs
+++ b/src/scheduler/failure_attribution.rs
@@ -1,4 +1,4 @@
-//! Whose fault failures are: a job that fails everywhere, or a machine that fails everything.
+//! Failure attribution: a crash-looping job, which fails everywhere, or a faulty machine, which fails everything.
 
 use super::Scheduler;
 use super::events::SchedulerEvent;
@@ -9,15 +9,17 @@
 
 /// A job that failed on so many machines is itself crash-looping.
 const CRASH_LOOP_MACHINES: usize = 3;
-/// A machine that failed tasks of so many jobs, with none succeeding since, is itself crash-looping.
+/// A machine that failed tasks of so many jobs, with none succeeding since, is quarantined.
 const QUARANTINE_AFTER_JOBS: usize = 2;
 
 impl Scheduler {
-    /// Guards against the design's crack: a job that fails everywhere would land on the same low machine for ever,
+    /// Attributes a failure to the job or to the machine.
+    ///
+    /// Guards against a gap of offers in id order: a job that fails everywhere would land on the same low machine for ever,
     /// and a machine that fails everything would be offered every job first.
     ///
-    /// Until a job is known to be crash-looping its failures speak against the machines as well; then they are taken back, so
-    /// that two broken jobs that met on a machine do not make it quarantined.
+    /// Until a job is known to be crash-looping its failures speak against the machines as well; then these are absolved, so
+    /// that two broken jobs that met on a machine do not quarantine it.
     pub(super) fn task_failed(&mut self, task: &TaskId, machine: &MachineId, now: Micros) {
         let machines = self.machines.len();
         let Some(job) = self.jobs.get_mut(&task.job) else {
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -1,6 +1,6 @@
-//! Fairness towards what is hard to place: smaller work must not pass a large job for ever.
+//! Fair share: reserves machines for starved jobs, which smaller work would pass for ever.
 //!
-//! The ordinary path gives room to the first due job that fits, so that a job whose tasks need more than is ever free at
+//! Offers give resources to the first due job that fits, so that a job whose tasks need more than is ever free at
 //! once, on a machine, in its zone or within its team's limit, could wait for as long as smaller ones come.
 
 use super::ids::{JobId, MachineId};
@@ -11,31 +11,31 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// A job that waits so long without a task placed is kept room for.
+/// A job that waits so long without a task placed is starved: machines are reserved for it.
 const STARVED_AFTER: Micros = Micros::secs(30);
-/// For so long smaller work of a team at its limit is held back; then what blocks it will not end soon.
+/// How long later work of a team at its limit is held back for a starved job; what blocks it longer will not end soon.
 const TEAM_HOLD_LIMIT: Micros = Micros::secs(120);
-/// Of so many machines one may be kept for a job.
+/// One in so many machines may be reserved.
 const MACHINES_PER_RESERVATION: usize = 50;
 
-/// How often it is looked for whom to keep what: scheduling cycles may come far more often than a job's turn.
+/// Interval at which reservations are recomputed: scheduling cycles may come far more often than a job is offered.
 const RESERVATION_INTERVAL: Micros = Micros::millis(200);
-/// About so many jobs, and the first ones always, look for a machine to be kept in one scheduling cycle.
+/// About so many jobs, and the first ones always, search for a machine to reserve in one scheduling cycle.
 const SEARCHES_PER_CYCLE: usize = 32;
 
-/// What is kept for jobs that wait long.
+/// Reservations for starved jobs.
 #[derive(Debug, Default)]
 pub(super) struct FairShare {
-    /// Machines that take nothing else until the job was placed there.
+    /// Machines reserved until the job was placed there.
     machines: BTreeMap<MachineId, JobId>,
     /// Teams whose later jobs are held back for one that waits for room within the limit.
     teams: BTreeMap<String, JobId>,
-    /// When this was last looked at.
+    /// When they were last recomputed.
     updated_at: Micros,
 }
 
 impl Scheduler {
-    /// Looks anew at what is kept, and for whom.
+    /// Recomputes what is reserved, and for whom.
     pub(super) fn reserve_for_long_waiting(&mut self, now: Micros) {
         if now.since(self.fair_share.updated_at) < RESERVATION_INTERVAL {
             return;
@@ -74,7 +74,7 @@
         self.fair_share.machines = self.machines_for(starved);
     }
 
-    /// The machines that are kept for these jobs, the first of which go before the others.
+    /// The machines reserved for these jobs, the first of which go before the others.
     fn machines_for(&mut self, starved: Vec<JobId>) -> BTreeMap<MachineId, JobId> {
         let mut machines = std::mem::take(&mut self.fair_share.machines);
         let starved_jobs: HashSet<&JobId> = starved.iter().collect();
@@ -94,12 +94,12 @@
             let Some(spec) = spec_of(&self.jobs, &id) else {
                 continue;
             };
-            // Of very many a sample gets its turn.
+            // Of very many jobs a sample searches.
             if place >= SEARCHES_PER_CYCLE && self.rng.usize(..jobs) >= SEARCHES_PER_CYCLE {
                 continue;
             }
-            // A gang needs as many as it has tasks, another job one for its next task; what needs least of all gets its
-            // turn without help.
+            // A gang needs as many as it has tasks, another job one for its next task; what needs least of all is placed
+            // without a reservation.
             let needed = match min_need {
                 _ if spec.is_gang() => spec.tasks as usize,
                 Some(min_need) if min_need != spec.need() && machines.len() < max_reserved => 1,
@@ -119,7 +119,7 @@
         self.job_index.waiting().filter_map(|id| self.jobs.get(id))
     }
 
-    /// The machine that could take a task of the job and has the least to wait for.
+    /// The machine with the fewest tasks that could take one of the job.
     fn machine_to_reserve(
         &self,
         id: &JobId,
@@ -144,7 +144,7 @@
         best.map(|(name, _)| name.clone())
     }
 
-    /// Whether a machine is kept for another job, which does not go before this one anyway.
+    /// Whether a machine is reserved for another job that this one does not outrank.
     pub(super) fn is_reserved_for_another(&self, machine: &MachineId, id: &JobId) -> bool {
         let Some(keeper) = self.fair_share.machines.get(machine) else {
             return false;
@@ -152,7 +152,7 @@
         keeper != id && !self.outranks(id, keeper)
     }
 
-    /// Whether a job's team is held back for another of its jobs, which does not go after this one anyway.
+    /// Whether a job's team is held back for another of its jobs that this one does not outrank.
     pub(super) fn is_held_back(&self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -168,7 +168,7 @@
         rank(id) > rank(other)
     }
 
-    /// Notes whether a job that was offered got anything placed.
+    /// Records whether a job that was offered got anything placed.
     pub(super) fn record_offer_result(&mut self, id: &JobId, waiting_before: u32, now: Micros) {
         if let Some(job) = self.jobs.get_mut(id) {
             if job.waiting() == 0 || job.waiting() < waiting_before {
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet: what to provision for tasks that nobody took, and what to terminate.
+//! The fleet: what to provision for tasks that no machine took, and what to terminate.
 
 use super::events::SchedulerEvent;
 use super::ids::{MachineId, TaskId};
@@ -12,12 +12,12 @@
 use ravenhead_recovery::Resolution;
 use std::collections::{BTreeMap, HashSet};
 
-/// How long a pool that had no machine is left alone.
+/// How long a pool that had no capacity is not asked again.
 const POOL_PAUSE: Micros = Micros::secs(20);
 /// The cloud charges at least so much for a machine that is terminated.
 const MIN_CHARGE: Micros = Micros::secs(60);
-/// Names of machines that are gone, of which late heartbeats and lists may still speak. One that is forgotten and spoken of
-/// once more is only returned once more.
+/// Names kept of terminated machines, which late heartbeats and lists may still mention. One that was dropped and is
+/// mentioned again is only terminated again.
 const MAX_REMEMBERED_TERMINATED: usize = 20_000;
 
 /// Machines of one type, zone and kind.
@@ -49,14 +49,14 @@
     pub terminate: Vec<MachineId>,
 }
 
-/// What the scheduler remembers of its provisioning requests.
+/// The state of provisioning requests.
 #[derive(Debug, Default)]
 pub(super) struct Fleet {
     /// Whether the machine list was read in this term.
     pub(super) listed: bool,
-    /// Asked for, not answered.
+    /// Requests without an answer yet.
     pub(super) in_flight_requests: Vec<ScaleOutRequest>,
-    /// Pools that had none, and until when they are left alone.
+    /// Pools without capacity, and until when they are not asked again.
     pub(super) paused: BTreeMap<Pool, Micros>,
 }
 
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The machines that go back.
+    /// The machines to terminate.
     fn terminating_machines(&self) -> Vec<MachineId> {
         let terminating_machines = self
             .machines
@@ -95,7 +95,7 @@
         terminating_machines.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Takes in what is known of a machine, and moves its tasks' zone counts along.
+    /// Takes in a machine's type, zone and kind, and moves its tasks' zone counts along.
     pub(super) fn observe_machine(
         &mut self,
         id: &MachineId,
@@ -138,7 +138,7 @@
 
     /// Machines that were provisioned so long ago, by this leader or an earlier one, which the list may not show yet.
     ///
-    /// Guards against a new leader that counts on machines which the earlier one gave back meanwhile, as if they were just
+    /// Guards against a new leader that counts on machines which the earlier one terminated meanwhile, as if they were just
     /// about to boot.
     pub fn inherit_provisioned(
         &mut self,
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Takes in the machine list, which lags, and of which the first page was asked for at this time.
+    /// Takes in the machine list, which lags, and of which the first page was requested at this time.
     pub fn on_list(&mut self, list: &[Listed], asked_at: Micros) {
         let lag = self.config.list_lag;
         self.fleet.listed = true;
@@ -261,7 +261,7 @@
             // A list may be older than the one before it, by twice the lag at most: only what is older than that
             // can be missed for being gone.
             let old = asked_at.since(m.since) > lag.scaled(3, 1) + Micros::secs(1);
-            // Guards against a new leader that counts on what the one before provisioned and gave back, and takes these machines
+            // Guards against a new leader that counts on what the one before provisioned and terminated, and takes these machines
             // for late boots: those that are there are listed by now.
             let never_came = m.newest.is_none() && !m.is_provisioned_by_this_term;
             if (m.first_listed_at.is_some() || never_came) && old && !listed.contains(id) {
@@ -270,7 +270,7 @@
         }
     }
 
-    /// Machines that could not be told of a cancellation in good time: they go back with the cancelled task.
+    /// Terminates machines that did not hear of a cancellation in time, together with the cancelled task.
     pub fn overdue_cancels(&mut self, unix_time: u64) -> Vec<MachineId> {
         let patience = self.config.cancel.scaled(3, 5).0;
         let mut overdue = BTreeMap::new();
@@ -295,7 +295,7 @@
         overdue.into_keys().collect()
     }
 
-    /// Gives back machines that stood empty long enough, the highest ids first, down to the reserve.
+    /// Terminates machines that were idle long enough, the highest ids first, down to the reserve.
     fn scale_in_idle(&mut self, reserve: Option<&Reserve>, now: Micros) {
         let mut spare = match reserve {
             Some(reserve) => self
@@ -358,7 +358,7 @@
             .unwrap_or(boot.scaled(if kept_ready { 8 } else { 1 }, 8))
     }
 
-    /// Places for such tasks on machines that are up, those included that tasks of lower priority would make way for.
+    /// Places for such tasks on machines that are up, those included that preemption of lower priorities would free.
     pub(super) fn free_places(&self, spec: &JobSpec) -> usize {
         self.count_steps(self.machines.len());
         self.machines
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat tells of its machine: that it is there, that it hears us, and what became of its tasks.
+//! Handling of heartbeats: the machine is there, it acknowledges our answers, and its tasks are in these states.
 
 use super::Scheduler;
 use super::events::SchedulerEvent;
@@ -20,7 +20,7 @@
     /// Takes in a heartbeat that the controller `via` passed on, or that came to this one.
     pub fn on_report(&mut self, r: &Heartbeat, via: &str, now: Micros) -> HeartbeatOutcome {
         self.latest = now;
-        // Late reports of machines that are gone must not bring them back.
+        // Late heartbeats of terminated machines must not bring them back.
         if self.terminated.contains(&r.machine) {
             return HeartbeatOutcome::default();
         }
@@ -50,12 +50,12 @@
         if m.via != via {
             m.via = via.to_owned();
         }
-        // Guards against copies of old heartbeats, and against reports of a machine that hears nobody: only what shows
+        // Guards against copies of old heartbeats, and against those of a machine that hears nobody: only what shows
         // that our answers arrive is a sign of life for long.
         if !m.is_inbound_unreachable() {
             m.last_contact = now;
         }
-        // Guards against a late copy bringing back a machine that an earlier leader returned: until a heartbeat shows
+        // Guards against a late copy bringing back a machine that an earlier leader terminated: until a heartbeat shows
         // this leader's token, only a machine provisioned by this leader is taken to be there.
         let comes_up =
             m.state == MachineState::Provisioning && (echoes || m.is_provisioned_by_this_term);
@@ -100,9 +100,9 @@
     }
 
     /// Counts the heartbeats in a row that show no sign of the answers before them: a token that stays behind, commands
-    /// without any effect, a agent epoch that ended although we answered.
+    /// without any effect, an agent epoch that ended although we answered.
     ///
-    /// Guards against a machine whose reports arrive while answers do not reach it: silence never shows, and in id
+    /// Guards against a machine whose heartbeats arrive while answers do not reach it: it never times out, and in id
     /// order the same task would be sent there again and again.
     fn count_unacknowledged(
         &mut self,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Another controller hears these machines though their heartbeats can't get here: they are alive.
+    /// Another controller is in contact with these machines, though their heartbeats can't get here: they are alive.
     pub fn on_contact(&mut self, node: &str, machines: &[MachineId], now: Micros) {
         self.failure_detector.observe_contacts(node, now);
         for id in machines {
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -9,18 +9,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// What has no deadline goes behind what is due so soon after it came.
+/// The deadline, after its submission, by which a job without one is queued.
 ///
 /// Guards against spare-time work that comes in thousands of long tasks: by its age it would go before all that has a
 /// deadline, which could not be met any more.
 const DEFAULT_DEADLINE: Micros = Micros::secs(600);
-/// Longest pause for a job that keeps failing.
+/// Longest backoff of a job that keeps failing.
 const MAX_BACKOFF: Micros = Micros::secs(30);
 
 /// Why a task is being stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopReason {
-    /// A job that goes before it takes the room.
+    /// A job that goes before it takes its resources.
     Preempted,
     /// Its machine is to be emptied.
     Drained,
@@ -39,9 +39,9 @@
     pub inherited: bool,
     /// The heartbeat whose answer carried the start.
     pub sent: Option<HeartbeatPosition>,
-    /// Its state in the newest heartbeat.
+    /// Its state in the machine's newest heartbeat.
     pub reported_state: Option<TaskState>,
-    /// When it was first seen to run.
+    /// When it was first reported running.
     pub running_since: Option<Micros>,
     /// Whether, and why, it is being stopped.
     pub stopping: Option<StopReason>,
@@ -157,13 +157,13 @@
     pub failures: u32,
     /// Whether it failed on so many machines, with no success between, that it is itself crash-looping.
     pub crash_looping: bool,
-    /// Whether a spot machine was taken with work of it that could not be saved.
+    /// Whether a spot machine was preempted with work of it that could not be saved.
     pub lost_on_spot: bool,
-    /// Machines where tasks are being stopped for waiting ones of this job, and until when that is believed.
+    /// Pending reservations: machines where tasks are stopped for this job, and until when each is valid.
     pub reservations: Vec<(MachineId, Micros)>,
     /// Until when a task of it that waits is one that was stopped only to be moved.
     pub moving_until: Micros,
-    /// Since when it is offered with nothing of it placed.
+    /// Since when it is offered without a task being placed.
     pub unplaced_since: Option<Micros>,
 }
 
@@ -199,7 +199,7 @@
         self.at.saturating_add(due.0)
     }
 
-    /// Its place among jobs of its priority at a time of day: the one due first goes first.
+    /// Its queue position among jobs of its priority, as the time of day by which it counts as due.
     ///
     /// Guards against an overload in which every job is served just too late: one that by its owner's estimate can't be
     /// in time any more counts as due half as late again, and if not even then, at three times its time. It gives way
@@ -238,12 +238,12 @@
         }
     }
 
-    /// How long it pauses after its latest failure.
+    /// Its backoff after the latest failure.
     pub fn pause(&self) -> Micros {
         Micros::secs(1 << self.failures.min(5)).min(MAX_BACKOFF)
     }
 
-    /// Whether its tasks may go to such a machine. What lost its work on a spot machine once does not try its luck again:
+    /// Whether its tasks may go to such a machine. What lost its work on a spot machine once does not use one again:
     /// a job without checkpoints could lose it over and over and never be in time.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         self.spec.allows(machine_type, zone, spot) && !(spot && self.lost_on_spot)
--- a/src/scheduler/job_index.rs
+++ b/src/scheduler/job_index.rs
@@ -1,14 +1,14 @@
-//! Which jobs and tasks a scheduling cycle must look at, so that it does not look at all.
+//! Which jobs and tasks a scheduling cycle must examine, so that it need not examine all.
 //!
-//! Each set may hold more than it says, never less: whoever reads it checks the job or the task itself, and what is no
-//! more so is dropped when it is met.
+//! Each set may hold more than it says, never less: readers check the job or the task itself, and stale entries are
+//! dropped when they are met.
 
 use super::ids::{JobId, TaskId};
 use super::job::Job;
 use crate::units::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Jobs with waiting tasks, jobs for which room is being made, and tasks that are being stopped.
+/// Jobs with waiting tasks, jobs with pending reservations, and tasks that are being stopped.
 #[derive(Debug, Default)]
 pub(super) struct JobIndex {
     waiting: BTreeSet<JobId>,
@@ -34,7 +34,7 @@
         self.tries.insert((job.next_try, job.spec.id.clone()));
     }
 
-    /// The jobs to be offered now, which must be scheduled anew once they were; and how many entries were looked at.
+    /// Returns the jobs to be offered now, which must be scheduled again afterwards, and the number of entries examined.
     pub(super) fn due(
         &mut self,
         jobs: &BTreeMap<JobId, Job>,
@@ -75,17 +75,17 @@
         self.waiting.len()
     }
 
-    /// Room is being made for a job.
+    /// Adds a job with a pending reservation.
     pub(super) fn add_pending_reservation(&mut self, id: &JobId) {
         self.pending_reservations.insert(id.clone());
     }
 
-    /// Jobs for which room is being made.
+    /// Jobs with pending reservations.
     pub(super) fn pending_reservations(&self) -> impl Iterator<Item = &JobId> {
         self.pending_reservations.iter()
     }
 
-    /// A task is being stopped.
+    /// Adds a task that is being stopped.
     pub(super) fn add_stopping(&mut self, task: TaskId) {
         self.stopping.insert(task);
     }
@@ -95,7 +95,7 @@
         self.stopping.iter()
     }
 
-    /// Drops what is no more so.
+    /// Drops stale entries.
     pub(super) fn prune(&mut self, jobs: &BTreeMap<JobId, Job>) {
         self.pending_reservations
             .retain(|id| jobs.get(id).is_some_and(|j| !j.reservations.is_empty()));
--- a/src/scheduler/job_spec.rs
+++ b/src/scheduler/job_spec.rs
@@ -4,7 +4,7 @@
 use crate::units::Resources;
 use serde::{Deserialize, Serialize};
 
-/// The most tasks a job may have.
+/// Maximum of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
 /// Longest text that a submission may carry in a name.
 const MAX_NAME: usize = 200;
@@ -25,7 +25,7 @@
     Service,
 }
 
-/// Priority, the least first.
+/// Priority, the lowest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -1,4 +1,4 @@
-//! A machine in the leader's memory: what it has, what is on it and when it was last in contact.
+//! A machine in the leader's memory: its resources, the tasks on it and its last contact.
 
 use super::ids::{JobId, TaskId};
 use super::job_spec::Priority;
@@ -7,20 +7,20 @@
 use ravenhead_recovery::HeartbeatPosition;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// After so many unheeded answers in a row a machine takes no more offers.
+/// After so many unacknowledged answers in a row a machine takes no more offers.
 const SUSPECT_AFTER: u32 = 2;
 /// After so many its heartbeats are no sign of life.
 const INBOUND_UNREACHABLE_AFTER: u32 = 3;
-/// Most tasks on one machine.
+/// Maximum of tasks on one machine.
 ///
 /// Guards against a heartbeat that is longer than a body may be: some 140 bytes a task at the most. A machine of which such a
-/// report was refused would lose its lease with everything on it.
+/// heartbeat was refused would lose its lease with everything on it.
 pub(super) const MAX_TASKS_PER_MACHINE: usize = 400;
 
 /// An image's name and its size in GB.
 pub type CachedImage = (String, f64);
 
-/// How far a machine is.
+/// A machine's place in its life cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
     /// Provisioned; its worker has not reported to this leader.
@@ -42,29 +42,29 @@
     pub zone: String,
     /// Whether spot.
     pub spot: bool,
-    /// What it has in all.
+    /// All of its resources.
     pub total: Resources,
     /// What placements and unexpected tasks take of it.
     pub used: Resources,
-    /// Placed tasks. Changed by [`Machine::reserve_resources`] and [`Machine::release`] only.
+    /// What placed tasks reserve. Changed by [`Machine::reserve_resources`] and [`Machine::release`] only.
     pub reserved: BTreeMap<TaskId, Resources>,
-    /// What they take, by their priority.
+    /// The same by priority.
     reserved_by_priority: BTreeMap<Priority, Resources>,
     /// Tasks on it that no placement covers, with their attempts.
     pub unexpected_tasks: BTreeMap<(TaskId, u64), Resources>,
     /// Exited tasks in its newest heartbeat, with their attempts, still to be cleared.
     pub exited: Vec<(TaskId, u64)>,
-    /// How far it is.
+    /// Its place in its life cycle.
     pub state: MachineState,
-    /// When its silence was last excused by a cut.
+    /// When suspicion was last suppressed because of a partition.
     pub suspicion_suppressed_at: Micros,
     /// When it was provisioned, or first known of.
     pub since: Micros,
     /// The newest heartbeat.
     pub newest: Option<HeartbeatPosition>,
-    /// When that came, or when this leader first knew of the machine.
+    /// The last sign of life, here or at another controller; at first, when this leader first knew of the machine.
     pub last_contact: Micros,
-    /// When the cloud will take it, once it said so.
+    /// When the cloud will preempt it, once it gave notice.
     pub notice: Option<Micros>,
     /// When the machine list first had it.
     pub first_listed_at: Option<Micros>,
@@ -82,19 +82,19 @@
     pub idle_since: Option<Micros>,
     /// When its newest heartbeat came.
     pub reported_at: Micros,
-    /// Whether its heartbeats get here, so that commands get there; not only another controller's word that it is alive.
+    /// Whether its heartbeats arrive here, so that commands arrive there; another controller's contact does not suffice.
     pub is_reachable: bool,
-    /// Whether its services are being moved to machines that have room, so that it can go back.
+    /// Whether its services are being moved to other machines, so that it can be terminated.
     pub consolidating: bool,
     /// The controller that passed its newest heartbeat on; empty: the leader itself.
     pub via: String,
     /// Whether this leader provisioned it, so that no heartbeat of it can be older than this term.
     pub is_provisioned_by_this_term: bool,
-    /// Reports in a row that show no sign of the answers before them.
+    /// Heartbeats in a row that acknowledge none of the answers before them.
     pub unacknowledged_heartbeats: u32,
     /// When one was last counted.
     pub unacknowledged_at: Micros,
-    /// Orders of the newest answer, whose effect the next heartbeat should show.
+    /// Commands of the newest answer, whose effect the next heartbeat should show.
     pub expected_effects: Vec<(TaskId, u64, ExpectedEffect)>,
 }
 
@@ -159,14 +159,14 @@
         }
     }
 
-    /// A task is placed on it.
+    /// Reserves the resources of a task that is placed on it.
     pub fn reserve_resources(&mut self, task: TaskId, need: Resources, priority: Priority) {
         self.used += need;
         *self.reserved_by_priority.entry(priority).or_default() += need;
         self.reserved.insert(task, need);
     }
 
-    /// A task is off it.
+    /// Releases the resources of a task that is off it.
     pub fn release(&mut self, task: &TaskId, need: Resources, priority: Priority) {
         if self.reserved.remove(task).is_none() {
             return;
@@ -180,7 +180,7 @@
         }
     }
 
-    /// What tasks of a lower priority take.
+    /// What tasks of a lower priority reserve.
     pub fn reserved_below(&self, priority: Priority) -> Resources {
         let below = self
             .reserved_by_priority
@@ -189,12 +189,12 @@
         below.fold(Resources::default(), |all, room| all + room)
     }
 
-    /// Whether it holds a task of a lower priority.
+    /// Whether a task of a lower priority is placed on it.
     pub fn has_reserved_below(&self, priority: Priority) -> bool {
         self.reserved_by_priority.range(..priority).next().is_some()
     }
 
-    /// Free room: what is there less everything that may be on it.
+    /// Free resources: all of them less everything that may be on it.
     pub fn free(&self) -> Resources {
         self.total - self.used
     }
@@ -204,7 +204,7 @@
         self.images.iter().any(|(name, _)| name == image)
     }
 
-    /// Notes that an image was used, and what must have made room for it.
+    /// Records that an image was used, and drops those that its cache must have evicted for it.
     pub fn record_image(&mut self, image: &str, gb: f64, cache_gb: f64) {
         self.images.retain(|(name, _)| name != image);
         self.images.push((image.to_owned(), gb));
@@ -238,12 +238,12 @@
         self.reserved.is_empty() && self.unexpected_tasks.is_empty()
     }
 
-    /// Whether its silence would mean something: it is up, or should hold tasks.
+    /// Whether the failure detector counts it: it is up, or tasks are placed on it.
     pub fn is_counted(&self) -> bool {
         self.state == MachineState::Ready || !self.reserved.is_empty()
     }
 
-    /// Whether it may be offered tasks, room aside.
+    /// Whether it may be offered tasks, free resources aside.
     pub fn takes_offers(&self) -> bool {
         self.state == MachineState::Ready
             && self.notice.is_none()
@@ -257,7 +257,7 @@
         self.unacknowledged_heartbeats >= SUSPECT_AFTER
     }
 
-    /// Whether its heartbeats count as signs of life no more, as it heeds no answer.
+    /// Whether its heartbeats count as signs of life no more, as it acknowledges no answer.
     pub fn is_inbound_unreachable(&self) -> bool {
         self.unacknowledged_heartbeats >= INBOUND_UNREACHABLE_AFTER
     }
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -1,4 +1,4 @@
-//! What workers and the leader tell each other: reports and commands.
+//! The messages between workers and the leader: heartbeats and commands.
 
 use super::ids::{MachineId, TaskId};
 use bitcode::{Decode, Encode};
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// A task's state as its worker tells it.
+/// A task's state as its worker reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
@@ -20,7 +20,7 @@
     Saving,
     /// Ended.
     Exited,
-    /// A state that this version does not know: it holds its room.
+    /// A state that this version does not know: the task keeps its resources.
     #[serde(other)]
     Other,
 }
@@ -36,7 +36,7 @@
     Stopped,
     /// Failed.
     Error,
-    /// Refused: not enough room.
+    /// Refused: not enough free resources.
     NoRoom,
     /// Refused: another attempt of it is there.
     Busy,
@@ -87,19 +87,19 @@
     /// Its zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether the cloud may take it back.
+    /// Whether it is a spot machine, which the cloud may preempt.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// The worker's agent epoch.
     #[serde(rename = "watch")]
     pub agent_epoch: u64,
-    /// Rises with every message of a agent epoch.
+    /// Rises with every message of an agent epoch.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// Highest token seen.
+    /// Highest fencing token that the worker has seen.
     #[serde(rename = "warrant")]
     pub token: u64,
-    /// Seconds until the cloud takes the machine away.
+    /// Seconds until the cloud preempts the machine.
     #[serde(default, rename = "warningS")]
     pub notice_s: Option<f64>,
     /// All tasks on the machine.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,6 +1,6 @@
-//! The pure core: events and a time go in, writes, commands and fleet wishes come out.
+//! The pure core: events and a time go in, writes, commands and fleet plans come out.
 //!
-//! It has no I/O, no clock and no randomness of its own. What may be told to workers follows from what the
+//! It has no I/O, no clock and no randomness of its own. Which commands workers get follows from what the
 //! controller reports as written: a start is given out only after its placement was, a `clear` only after the finish.
 
 mod candidates;
@@ -51,34 +51,34 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::rc::Rc;
 
-/// What operators and platform settle for the scheduler.
+/// The settings of operators and platform that the scheduler uses.
 #[derive(Debug, Clone)]
 pub struct SchedulerConfig {
     /// Interval at which waiting jobs are offered again.
     pub retry: Micros,
-    /// Most that is added to it at random.
+    /// Maximum of the random time added to it.
     pub jitter: Micros,
     /// How long an empty machine is kept; none: an eighth of the time another would take to boot.
     pub idle: Option<Micros>,
     /// Free places kept for classes that can't wait for a boot; none: derived from their arrivals.
     pub reserve: Option<u32>,
-    /// Most offers in one scheduling cycle; beyond, samples of machines are asked.
+    /// Maximum of offers in one scheduling cycle; beyond, jobs are offered to samples of machines.
     pub max_offers_per_cycle: usize,
-    /// Most machines provisioned in one scheduling cycle.
+    /// Maximum of machines provisioned in one scheduling cycle.
     pub max_scale_out_per_cycle: usize,
     /// Number of controllers.
     pub controllers: usize,
     /// Interval of heartbeats.
     pub report: Micros,
-    /// How long workers live without an answer.
+    /// Lease of workers: how long they run tasks without an answer.
     pub lease: Micros,
-    /// Time for a cancellation.
+    /// Time within which a cancelled task must have stopped.
     pub cancel: Micros,
     /// How old the machine list may be.
     pub list_lag: Micros,
     /// Classes whose tasks are to start within a time, and that time.
     pub wait_within: BTreeMap<String, Micros>,
-    /// Whether it is told how far a new leader has confirmed what it found recorded.
+    /// Whether the progress of a new leader's recovery is logged.
     pub recovery_report: bool,
     /// Whether work within a guarantee is to start within a time.
     pub guarantee_within: Option<Micros>,
@@ -89,7 +89,7 @@
 pub struct TeamQuota {
     /// Guaranteed processors and accelerators.
     pub guarantee: [Option<i64>; 2],
-    /// Most processors and accelerators.
+    /// Maximum of processors and accelerators.
     pub limit: [Option<i64>; 2],
 }
 
@@ -104,14 +104,14 @@
     pub is_reachable: bool,
 }
 
-/// The scheduler of one leader, for the time of its token.
+/// The scheduler of one leader term.
 pub struct Scheduler {
     config: SchedulerConfig,
     token: u64,
     started_at: Micros,
-    /// The time of the latest report or round.
+    /// The time of the latest heartbeat or scheduling cycle.
     latest: Micros,
-    /// No attempt is lower.
+    /// Lower bound of new attempts.
     min_attempt: u64,
     /// The time of day, in microseconds, as of the last plan of the fleet.
     unix_time: u64,
@@ -123,7 +123,7 @@
     team_used: BTreeMap<String, Resources>,
     /// Which jobs are within their team's guarantee, as of the last scheduling cycle.
     guarantees: quota::Guarantees,
-    /// Which jobs and tasks a scheduling cycle must look at.
+    /// Which jobs and tasks a scheduling cycle must examine.
     job_index: job_index::JobIndex,
     /// What work without accelerators leaves for each free one, by its priority, as of the last scheduling cycle.
     accelerator_headroom: BTreeMap<Priority, Resources>,
@@ -202,7 +202,7 @@
         }
     }
 
-    /// The token under which it decides.
+    /// The fencing token of the leader term.
     pub fn token(&self) -> u64 {
         self.token
     }
@@ -224,7 +224,7 @@
         self.steps.set(self.steps.get() + n as u64);
     }
 
-    /// The machine types as the cloud tells them now.
+    /// Takes in the machine types that the cloud offers now.
     pub fn set_machine_types(&mut self, machine_types: &[MachineType]) {
         self.machine_types = machine_types
             .iter()
@@ -237,7 +237,7 @@
         }
     }
 
-    /// A job, new or inherited with what was written of its run.
+    /// Adds a job, new or inherited with what was written of its run.
     pub fn add_job(
         &mut self,
         record: &JobRecord,
@@ -272,7 +272,7 @@
         self.check_terminal(&id);
     }
 
-    /// A job was ended, by its user or by this leader.
+    /// Ends a job, for its user or by this leader's decision.
     pub fn end_job(&mut self, id: &JobId, end: JobEnd) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -289,7 +289,7 @@
         self.check_terminal(id);
     }
 
-    /// A commit found the job over already: nothing of it may be started, though how it ended is not known yet.
+    /// A commit found that the job had ended: nothing of it may be started, though its outcome is not known yet.
     pub fn job_is_over(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.ending = true;
@@ -320,7 +320,7 @@
         }
     }
 
-    /// Counts a task in on a machine, whose placement stands in its chunk already.
+    /// Reserves a machine's resources for a task whose placement is in its chunk already.
     fn reserve_on_machine(&mut self, id: &JobId, index: u32, machine: &MachineId, now: Micros) {
         let known_since = self.started_at.max(now);
         let m = self
@@ -344,7 +344,7 @@
         m.reserve_resources(task, need, priority);
     }
 
-    /// Takes a placement out, because its task is proven to be off its machine or was never sent there.
+    /// Removes a placement, because its task is proven to be off its machine or was never sent there.
     fn release(&mut self, id: &JobId, index: u32) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -379,7 +379,7 @@
         self.check_terminal(id);
     }
 
-    /// Makes the jobs due for which room was made on a machine, so that no other takes it first.
+    /// Makes the jobs with a pending reservation on a machine due, so that no other takes its resources first.
     fn wake_pending_reservations(&mut self, machine: &MachineId) {
         let mut woken = Vec::new();
         for id in self.job_index.pending_reservations() {
@@ -397,7 +397,7 @@
         }
     }
 
-    /// Notes a task's completion.
+    /// Records a task's completion.
     fn finish(&mut self, id: &JobId, index: u32) {
         self.release(id, index);
         let Some(job) = self.jobs.get_mut(id) else {
@@ -419,7 +419,7 @@
         self.mark_dirty(id, index / CHUNK_SIZE);
     }
 
-    /// Something changed in a chunk.
+    /// Marks a chunk to be written.
     ///
     /// Guards against the chunks of a job of tens of thousands of tasks going before a critical task's, because its name
     /// comes first.
@@ -438,7 +438,7 @@
         }
     }
 
-    /// Makes a job with waiting tasks due at once.
+    /// Makes a job with waiting tasks due now.
     pub(super) fn requeue(&mut self, id: &JobId, now: Micros) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.next_try = job.next_try.min(now);
--- a/src/scheduler/offers.rs
+++ b/src/scheduler/offers.rs
@@ -1,4 +1,4 @@
-//! The ordinary path: due jobs are offered to machines in id order, and the first that accepts takes the task.
+//! Offers: due jobs are offered to machines in id order, and the first that accepts takes the task.
 
 use super::candidates::{Candidates, SearchOrder};
 use super::events::SchedulerEvent;
@@ -12,10 +12,10 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tasks of one job placed in one scheduling cycle, so that one huge job can't take the whole round; or one for each machine, where
+/// Tasks of one job placed in one scheduling cycle, so that one huge job can't take all of it; or one for each machine, where
 /// they are more.
 const TASKS_PER_JOB: usize = 512;
-/// Of a scheduling cycle's offers each job may count on so many; where more jobs wait, they are offered less often.
+/// Each job's share of a scheduling cycle's offers; where more jobs wait, they are offered less often.
 const OFFERS_PER_JOB: usize = 16;
 /// A sample holds at least so many machines.
 const MIN_SAMPLE: usize = 8;
@@ -32,12 +32,12 @@
     pub(super) spot: Option<bool>,
     /// One task a machine: what must be fetched anyway is then had by more machines.
     one_each: bool,
-    /// Only those that have work with accelerators.
+    /// Only those with accelerators in use.
     pub(super) accelerators_in_use: bool,
 }
 
 impl Scheduler {
-    /// One round: offers every due job, then makes room for what must not wait.
+    /// Runs one scheduling cycle: offers every due job, and preempts for what must not wait.
     pub fn run_cycle(&mut self, now: Micros) {
         self.latest = now;
         self.offers_made = 0;
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Offers one job in the passes that it needs, and makes room for it where it must not wait.
+    /// Offers one job in the passes that it needs, and preempts for it where it must not wait.
     fn offer_job(
         &mut self,
         id: &JobId,
@@ -138,7 +138,7 @@
         self.apply_reservations(id, machines);
     }
 
-    /// These jobs and those that wait for room being made for them, in their order.
+    /// These jobs and those with pending reservations, in queue order.
     fn with_pending_reservations(&self, due: &BTreeSet<JobId>) -> Vec<JobId> {
         let pending_reservations = self
             .job_index
@@ -150,9 +150,9 @@
         all.into_iter().map(|j| j.spec.id.clone()).collect()
     }
 
-    /// The jobs that come after this one leave it the room that is being made for it.
+    /// Withholds from the jobs after this one what is reserved for it.
     ///
-    /// Guards against room for a large task that frees bit by bit, each of which a smaller one takes: stops would be
+    /// Guards against resources for a large task that free bit by bit, each taken by a smaller one: preemptions would be
     /// ordered for ever, and the large task would never begin.
     fn apply_reservations(&self, id: &JobId, machines: &mut Candidates) {
         let Some(job) = self.jobs.get(id) else { return };
@@ -287,7 +287,7 @@
         false
     }
 
-    /// Orders all tasks of a job that are on machines to be stopped.
+    /// Stops all tasks of a job that are on machines.
     fn stop_all(&mut self, id: &JobId, reason: StopReason) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -302,7 +302,7 @@
         }
     }
 
-    /// The machines of a command, zone by zone.
+    /// The machines of a search order, zone by zone.
     fn order_by_zone(&self, machines: &Candidates, order: &SearchOrder) -> Vec<Vec<usize>> {
         let all: Vec<usize> = match order {
             SearchOrder::Some(some) => some.clone(),
@@ -356,7 +356,7 @@
         due
     }
 
-    /// Machines that take offers and have room for the smallest of these jobs' tasks, in id order: the others need not
+    /// Machines that take offers and fit the smallest of these jobs' tasks, in id order: the others need not
     /// be asked.
     fn candidates(&self, due: &BTreeSet<JobId>) -> Candidates {
         self.count_steps(self.machines.len());
@@ -442,8 +442,8 @@
         }
     }
 
-    /// Those machines of a command that have a job's image, are fetching it or were cleared for it. What is being moved goes
-    /// where its place is.
+    /// Those machines of a search order that have a job's image, are fetching it or were cleared for it. What is moved goes
+    /// where it has its reservation.
     fn ready_machines(
         &self,
         id: &JobId,
@@ -467,7 +467,7 @@
         machines.with_image(order, &job.spec.image, cleared)
     }
 
-    /// Whether a machine may take one more task of the job, room and team limit aside.
+    /// Whether a machine may take one more task of the job, free resources and team limit aside.
     pub(super) fn accepts(&self, id: &JobId, machine: &MachineId) -> bool {
         let (Some(m), Some(job)) = (self.machines.get(machine), self.jobs.get(id)) else {
             return false;
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,4 +1,4 @@
-//! Making room for what must not wait, by the protocol's rules only and at the least loss of work.
+//! Preemption: stops tasks for jobs that must not wait, only as the protocol allows and at the least loss of work.
 
 use super::events::SchedulerEvent;
 use super::ids::{JobId, MachineId, TaskId};
@@ -12,15 +12,15 @@
 /// What a stopped task needs until it runs again elsewhere. An array's task that ran for less is not stopped for an array
 /// of a higher priority: the restart would cost more than it achieved.
 const MIN_RUN_TIME: Micros = Micros::secs(45);
-/// Stops ordered for one job in one scheduling cycle; or one for so many machines, where that is more.
+/// Preemptions for one job in one scheduling cycle; or one for so many machines, where that is more.
 const MAX_PREEMPTIONS_PER_CYCLE: usize = 16;
 const MACHINES_EXAMINED_PER_PREEMPTION: usize = 64;
 
-/// What a scheduling cycle knows of the room that can be made.
+/// What a scheduling cycle knows of the resources that preemption can free.
 pub(super) struct PreemptionPass {
-    /// Room that will be free by machine: what is being stopped there, less what was promised of it.
+    /// Resources about to be free, by machine: what is being stopped there, less what is reserved of it.
     incoming: BTreeMap<MachineId, Resources>,
-    /// Machines that hold something that may be stopped for some job; looked up when first needed.
+    /// Machines with tasks that may be preempted for some job; computed when first needed.
     stoppable: Option<Vec<MachineId>>,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl Scheduler {
-    /// Room that will be free by machine: what is being stopped there, less what was promised of it.
+    /// Resources about to be free, by machine: what is being stopped there, less what is reserved of it.
     pub(super) fn incoming_resources(&mut self, now: Micros) -> BTreeMap<MachineId, Resources> {
         let mut incoming: BTreeMap<MachineId, Resources> = BTreeMap::new();
         for task in self.job_index.stopping() {
@@ -59,7 +59,7 @@
         incoming
     }
 
-    /// Stops tasks where that really makes room for a job that must not wait; with `with_image` only on machines
+    /// Preempts tasks where that lets a job start that must not wait; with `with_image` only on machines
     /// that have its image.
     pub(super) fn preempt_for(
         &mut self,
@@ -101,7 +101,7 @@
                 .map(|s| Micros::from_secs_f64(s.save_slack()))
                 .max()
                 .unwrap_or_default();
-            // The stop waits for a heartbeat, the exit is told within a second, and then the claim is used.
+            // The stop waits for a heartbeat, the exit is reported within a second, and then the reservation is used.
             let until = now + self.config.report.scaled(5, 4) + save + Micros::secs(2);
             for task in victims {
                 self.stop_for(&task, id);
@@ -130,7 +130,7 @@
         });
     }
 
-    /// Machines with tasks that may be stopped for one job or another, or with room coming.
+    /// Machines with tasks that may be preempted for one job or another, or with resources about to be free.
     fn stoppable(&self, incoming: &BTreeMap<MachineId, Resources>) -> Vec<MachineId> {
         self.count_steps(self.machines.len());
         let worth = |(id, m): &(&MachineId, &Machine)| {
@@ -141,7 +141,7 @@
         machines.map(|(id, _)| id.clone()).collect()
     }
 
-    /// The machine where room for a task costs least, and the tasks to stop there.
+    /// The machine where preemption for a task loses the least work, and the tasks to stop there.
     fn room_for(
         &mut self,
         id: &JobId,
--- a/src/scheduler/provisioning_times.rs
+++ b/src/scheduler/provisioning_times.rs
@@ -1,4 +1,4 @@
-//! How long new machines take to come up: which of those that are late are stuck, and which only as late as all are.
+//! How long machines take to come up: which late ones have timed out, and which are only as late as all of their zone.
 
 use super::Scheduler;
 use super::events::SchedulerEvent;
@@ -8,27 +8,27 @@
 use crate::units::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// In tenths of the usual boot time: nearly all machines are up by then.
+/// The usual boot time in tenths, with a margin: nearly all machines are up by then.
 const ON_TIME_TENTHS: u64 = 17;
-/// How long a late machine is waited for where many are late, before any of them came up.
+/// The provisioning timeout of a zone where many are late, before any of them came up.
 const MIN_SLOW_TIMEOUT_TENTHS: u64 = 30;
-/// The longest that any machine is waited for.
+/// The longest provisioning timeout.
 const MAX_TIMEOUT_TENTHS: u64 = 60;
-/// A machine stops counting as room to come so much before it is given up.
+/// A machine stops counting as incoming capacity so long before its timeout.
 const REPLACEMENT_LEAD_TENTHS: u64 = 1;
-/// Where many are late and none of them came up, others are provisioned in their place after this.
+/// Where many are late and none of them came up, replacements are provisioned after this.
 const SLOW_REPLACEMENT_TENTHS: u64 = 24;
-/// So many late machines are no sign of anything.
+/// So many late machines are no sign of a slow zone.
 const TOLERATED_LATE: u64 = 2;
-/// How long the boots of a zone tell something of the next.
+/// How long an observed boot counts.
 const OBSERVATION_WINDOW: Micros = Micros::secs(300);
 
-/// How the machines of a zone come up.
+/// Observed boots of a zone.
 #[derive(Debug, Clone, Copy, Default)]
 struct Zone {
     on_time: u64,
     late: u64,
-    /// The slowest of those that came up.
+    /// The slowest boot, in tenths of the usual time.
     slowest: u64,
 }
 
@@ -37,7 +37,7 @@
         self.late > TOLERATED_LATE.max((self.late + self.on_time) / 4)
     }
 
-    /// When a machine is stuck, in tenths of the usual boot time.
+    /// The provisioning timeout, in tenths of the usual boot time.
     fn timeout_tenths(&self) -> u64 {
         if self.is_slow() {
             (self.slowest * 3 / 2).clamp(MIN_SLOW_TIMEOUT_TENTHS, MAX_TIMEOUT_TENTHS)
@@ -47,16 +47,16 @@
     }
 }
 
-/// What the scheduler remembers of boots.
+/// Recent boots, and what they say of each zone.
 #[derive(Debug, Default)]
 pub(super) struct ProvisioningTimes {
-    /// Machines that came up, or were given up: when, where, and after how many tenths of the usual time, if at all.
+    /// Machines that came up or timed out: when, where, and after how many tenths of the usual time, if at all.
     observations: VecDeque<(Micros, String, Option<u64>)>,
     zones: BTreeMap<String, Zone>,
 }
 
 impl ProvisioningTimes {
-    /// Whether much of what was provisioned in the zone of late is late.
+    /// Whether many of the zone's recently provisioned machines are late.
     pub(super) fn is_slow(&self, zone: &str) -> bool {
         self.zones.get(zone).is_some_and(Zone::is_slow)
     }
@@ -73,7 +73,7 @@
         now.since(m.since).0.saturating_mul(10) / boot
     }
 
-    /// A machine that this leader provisioned came up, or was given up as stuck.
+    /// Takes in that a machine provisioned by this leader came up or timed out.
     pub(super) fn observe_provisioning(&mut self, machine: &MachineId, up: bool, now: Micros) {
         let Some(m) = self
             .machines
@@ -87,9 +87,9 @@
         self.provisioning_times.observations.push_back(observations);
     }
 
-    /// Looks anew at how machines come up, zone by zone.
+    /// Updates the observations of each zone.
     ///
-    /// Guards against giving up, and renting again, every new machine of a time in which all take several times as long:
+    /// Guards against replacing, again and again, every new machine of a time in which all take several times as long:
     /// none of them would ever come up.
     pub(super) fn update_provisioning_times(&mut self, now: Micros) {
         let old = |(at, _, _): &(Micros, String, Option<u64>)| now.since(*at) > OBSERVATION_WINDOW;
@@ -139,7 +139,7 @@
         self.provisioning_times.zones = zones;
     }
 
-    /// Whether a machine is past the usual time of a boot, and nothing that was sent in this leader's time came of it. A
+    /// Whether a machine is past the usual boot time, and this leader has not heard of it meanwhile. A
     /// new leader first gives it the time to report.
     fn is_late(&self, m: &Machine, now: Micros) -> bool {
         let boot = self
@@ -153,7 +153,7 @@
             && self.provisioning_tenths(m, now) > ON_TIME_TENTHS
     }
 
-    /// Whether a machine will not come up any more, as far as its zone's others tell.
+    /// Whether a machine has not come up within its zone's provisioning timeout.
     pub(super) fn is_provisioning_timed_out(&self, m: &Machine, now: Micros) -> bool {
         let zone = self
             .provisioning_times
@@ -166,7 +166,7 @@
             && (reported || self.provisioning_tenths(m, now) > zone.timeout_tenths())
     }
 
-    /// Whether a machine that boots counts as room to come.
+    /// Whether a machine that boots counts as incoming capacity.
     pub(super) fn is_provisioned_soon(&self, m: &Machine, now: Micros) -> bool {
         let zone = self
             .provisioning_times
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -1,4 +1,4 @@
-//! Teams: limits that hold at every moment, and guarantees that go before borrowing.
+//! Team quotas: limits that hold at every moment, and guarantees that go before borrowing.
 
 use super::ids::JobId;
 use super::job::Job;
@@ -18,12 +18,12 @@
         }
     }
 
-    /// Whether so much is allowed.
+    /// Whether this use is within the limit.
     pub fn allows(&self, used: &Resources) -> bool {
         fits(self.limit, used)
     }
 
-    /// Whether anything is guaranteed, and so much fits into it.
+    /// Whether anything is guaranteed, and this use is within the guarantee.
     pub fn guarantees(&self, used: &Resources) -> bool {
         self.guarantee.iter().any(Option::is_some) && fits(self.guarantee, used)
     }
@@ -69,7 +69,7 @@
         ))
     }
 
-    /// Looks anew at the teams of which a job came, went or got smaller.
+    /// Recomputes the guarantees of teams of which a job came, went or got smaller.
     pub(super) fn refresh_guarantees(&mut self) {
         let steps = self.guarantees.refresh(&self.teams, &self.jobs);
         self.count_steps(steps);
@@ -79,22 +79,22 @@
 /// The jobs that fit into their team's guarantee together with the team's earlier ones.
 #[derive(Debug, Default)]
 pub(super) struct Guarantees {
-    /// Each team's jobs in the command in which they came.
+    /// Each team's jobs in the order of their submission.
     by_age: BTreeMap<String, BTreeSet<(u64, JobId)>>,
     within: BTreeMap<String, HashSet<JobId>>,
-    /// Teams to be looked at anew.
+    /// Teams to be recomputed.
     stale: BTreeSet<String>,
 }
 
 impl Guarantees {
-    /// A job came.
+    /// Adds a job.
     pub(super) fn add(&mut self, job: &Job) {
         let team = self.by_age.entry(job.spec.team.clone()).or_default();
         team.insert((job.at, job.spec.id.clone()));
         self.mark_stale(&job.spec.team);
     }
 
-    /// A job is gone.
+    /// Removes a job.
     pub(super) fn remove(&mut self, job: &Job) {
         if let Some(team) = self.by_age.get_mut(&job.spec.team) {
             team.remove(&(job.at, job.spec.id.clone()));
@@ -115,7 +115,7 @@
         within.is_some_and(|jobs| jobs.contains(&job.spec.id))
     }
 
-    /// Brings the teams that changed up to date; how many jobs were looked at.
+    /// Recomputes the stale teams. Returns the number of jobs examined.
     fn refresh(
         &mut self,
         teams: &BTreeMap<String, TeamQuota>,
--- a/src/scheduler/rebuild.rs
+++ b/src/scheduler/rebuild.rs
@@ -1,5 +1,5 @@
-//! After a loss of stored state: what was placed last may stand in no record, so that nothing is offered before every
-//! machine has told what is on it.
+//! Recovery from a loss of stored state: the last placements may be missing from it, so nothing is offered before every
+//! machine has reported what is on it.
 
 use super::Scheduler;
 use super::events::SchedulerEvent;
@@ -11,7 +11,7 @@
 /// Attempts after a loss begin so far above those before it: records may lack the last ones, and a worker takes an attempt
 /// that it had before for a repetition.
 const ATTEMPTS_PER_LOSS: u64 = 1 << 32;
-/// How often it is told how many machines are waited for.
+/// Interval at which it is logged how many machines are waited for.
 const LOG_INTERVAL: Micros = Micros::secs(10);
 
 /// A rebuild that waits for machines.
@@ -23,7 +23,7 @@
 }
 
 impl Scheduler {
-    /// This term begins after a loss, which was the one of this number: offers wait until all machines were heard.
+    /// Begins a term after the loss of stored state with this number: offers wait until all machines have reported.
     pub fn begin_rebuild(&mut self, number: u64, now: Micros) {
         self.raise_attempts(number);
         self.rebuild = Some(Rebuild {
@@ -32,7 +32,7 @@
         });
     }
 
-    /// Attempts are above all that were given out before the last loss.
+    /// Raises the attempts above all that were given out before the last loss.
     pub fn raise_attempts(&mut self, losses: u64) {
         self.min_attempt = losses * ATTEMPTS_PER_LOSS;
     }
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Looks whether every machine has told what is on it, or is gone; true once all have.
+    /// Returns true once every machine has reported what is on it, or is gone.
     pub fn look_at_rebuild(&mut self, now: Micros) -> bool {
         let unheard = self
             .machines
@@ -86,7 +86,7 @@
         false
     }
 
-    /// An attempt of a task was seen that no record shows: later ones must be higher.
+    /// Takes in an attempt that no record shows: later ones must be higher.
     pub(super) fn raise_last_attempt(&mut self, task: &TaskId, attempt: u64) {
         if self.rebuild.is_none() {
             return;
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Placements compared with reports, task by task: what each heartbeat proves, and what follows from it.
+//! Reconciliation of placements with heartbeats, task by task: what each proves, and what follows from it.
 
 use super::Scheduler;
 use super::events::SchedulerEvent;
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Deals with what is reported but not placed: stale attempts, strangers, tasks that ended before.
+    /// Reconciles what is reported but not placed: stale attempts, unknown tasks, tasks that ended before.
     pub(super) fn reconcile_unplaced(&mut self, r: &Heartbeat, now: Micros) -> bool {
         let mut exited = Vec::new();
         let mut extra = BTreeMap::new();
@@ -221,7 +221,7 @@
         for room in m.unexpected_tasks.values() {
             m.used -= *room;
         }
-        // Nobody knows what a stranger takes: the machine counts as full until it is gone.
+        // The resources of an unknown task are unknown as well: the machine counts as full until it is gone.
         let total = m.total;
         m.unexpected_tasks = extra
             .into_iter()
--- a/src/scheduler/recovery.rs
+++ b/src/scheduler/recovery.rs
@@ -1,6 +1,7 @@
-//! What a new leader has confirmed of the placements that it found recorded, told to operators in a few lines.
+//! Progress of a new leader's recovery: which of the recorded placements are confirmed, logged in a few lines.
 //!
-//! The comparison itself is part of every heartbeat (`reports`) and rests on `ravenhead-recovery`; this module only counts.
+//! The comparison itself is part of every heartbeat (`reconciliation`) and rests on `ravenhead-recovery`; this module
+//! only counts.
 
 use super::events::SchedulerEvent;
 use super::ids::TaskId;
@@ -8,10 +9,10 @@
 use crate::units::Micros;
 use ravenhead_recovery::{Progress, Resolution, UnrecordedVerdict};
 
-/// How often it is told how much is still unconfirmed.
+/// Interval at which progress is logged.
 const PROGRESS_EVERY: Micros = Micros::secs(10);
 
-/// A recovery that is being told of.
+/// A recovery in progress.
 #[derive(Debug)]
 pub(super) struct Recovery {
     progress: Progress,
@@ -19,7 +20,7 @@
 }
 
 impl Scheduler {
-    /// Begins to count what is confirmed of the placements taken over, if operators want to be told.
+    /// Begins to count what is confirmed of the placements taken over, if operators want it logged.
     pub fn begin_recovery(&mut self, now: Micros) {
         if !self.config.recovery_report {
             return;
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Tells how far the recovery is; once it has ended, what came of it.
+    /// Logs the progress of the recovery; once it has ended, its summary.
     pub(super) fn report_recovery(&mut self, now: Micros) {
         let Some(recovery) = &mut self.recovery else {
             return;
--- a/src/scheduler/reserve.rs
+++ b/src/scheduler/reserve.rs
@@ -12,9 +12,9 @@
 const SAMPLE_EVERY: Micros = Micros::secs(1);
 /// How long a sample counts.
 const SAMPLES_KEPT: Micros = Micros::secs(60);
-/// The share of the samples, in percent, whose demand finds room.
+/// The percentile of the samples that the reserve covers.
 const COVERED_PERCENT: usize = 75;
-/// How far back arrivals are counted to size the reserve, and for how long machines are kept after such work.
+/// The window of arrivals that size the reserve, and for how long machines are kept after such work.
 const ARRIVAL_WINDOW: Micros = Micros::secs(120);
 /// The reserve of services is at most this part of what runs of them.
 const RESERVE_DIVISOR: u32 = 8;
@@ -24,25 +24,25 @@
 /// Places to keep free, or filled with what may be stopped.
 #[derive(Debug, Clone)]
 pub(super) struct Reserve {
-    /// A job that stands for those that are to find room.
+    /// The job whose tasks the places are sized for.
     pub(super) template: Rc<JobSpec>,
     /// For how many of its tasks.
     pub(super) places: usize,
 }
 
-/// What was asked for of late by latency-sensitive work: arrays whose aims leave less time than a boot takes.
+/// Recent demand of latency-sensitive work: arrays whose aims leave less time than a boot takes.
 #[derive(Debug, Default)]
 pub(super) struct Demand {
     /// When some of it could use spot machines.
     spot_at: Option<Micros>,
     /// When some of it could not.
     ordinary_at: Option<Micros>,
-    /// Processors asked for at recent times, running and waiting.
+    /// Processors of its running and waiting tasks, sampled.
     samples: VecDeque<(Micros, i64)>,
 }
 
 impl Demand {
-    /// Whether there was such work lately for which machines of this kind are kept.
+    /// Whether there was such work within the window for which machines of this kind are kept.
     pub(super) fn is_recent_for(&self, spot: bool, now: Micros) -> bool {
         let last_at = if spot { self.spot_at } else { self.ordinary_at };
         last_at.is_some_and(|at| now.since(at) < ARRIVAL_WINDOW)
@@ -56,7 +56,7 @@
         self.samples.retain(|(at, _)| now.since(*at) < SAMPLES_KEPT);
     }
 
-    /// What was asked for at most of the recent times.
+    /// The percentile of the samples that the reserve covers, in processors.
     fn typical(&self) -> Option<i64> {
         let mut cores: Vec<i64> = self.samples.iter().map(|(_, cores)| *cores).collect();
         cores.sort_unstable();
@@ -77,7 +77,7 @@
         spec.shape == Shape::Array && min_slack.is_some_and(|min_slack| min_slack < boot)
     }
 
-    /// Notes the latency-sensitive work that is there.
+    /// Samples the demand of latency-sensitive work.
     pub(super) fn observe_demand(&mut self, now: Micros) {
         let mut cores = 0;
         let (mut any_spot, mut any_ordinary) = (false, false);
@@ -97,7 +97,7 @@
         self.demand.sample(cores, now);
     }
 
-    /// So many places that what latency-sensitive work asked for at most of the recent times would find room.
+    /// The places missing to the typical demand of latency-sensitive work.
     fn latency_sensitive_reserve(&self) -> Option<Reserve> {
         let counts = |j: &&Job| !j.ending && self.is_latency_sensitive(&j.spec);
         let jobs = || self.jobs.values().filter(counts);
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -1,4 +1,4 @@
-//! What to provision for the tasks that neither free nor coming room will hold.
+//! Scale-out: what to provision for tasks that neither free nor incoming capacity will hold.
 
 use super::fleet::{Pool, ScaleOutRequest};
 use super::job::Job;
@@ -51,7 +51,7 @@
     }
 }
 
-/// Room that is expected: a machine that boots, is being provisioned, or is about to be provisioned.
+/// Incoming capacity: a machine that boots, is being provisioned, or is about to be provisioned.
 struct Bin {
     pool: Pool,
     free: Resources,
@@ -140,7 +140,7 @@
 }
 
 impl Scheduler {
-    /// What to provision for waiting tasks that neither free nor coming room will hold, and for the reserve.
+    /// What to provision for waiting tasks that neither free nor incoming capacity will hold, and for the reserve.
     pub(super) fn plan_scale_out(
         &mut self,
         reserve: Option<Reserve>,
@@ -232,7 +232,7 @@
         rent
     }
 
-    /// Sees to it that so many more places for such tasks come.
+    /// Plans so many more places for such tasks.
     fn plan_places(&self, spec: &Rc<JobSpec>, places: usize, plan: &mut Plan, now: Micros) {
         let job = Job::new(spec.clone(), 0, None, Micros::ZERO);
         let nowhere = BTreeMap::new();
@@ -270,7 +270,7 @@
         self.fleet.listed && machines.all(|m| m.state != MachineState::Provisioning || !is_up(m))
     }
 
-    /// Jobs with waiting tasks in the command in which they are offered, those that back off left out. For one crash-looping
+    /// Jobs with waiting tasks in the order in which they are offered, those that back off left out. For one crash-looping
     /// nothing is provisioned as long as there is any machine that it could fail on.
     fn waiting_jobs(&self, now: Micros) -> Vec<JobId> {
         let any_up = self.machines.values().any(Machine::takes_offers);
@@ -284,7 +284,7 @@
         waiting.into_iter().map(|j| j.spec.id.clone()).collect()
     }
 
-    /// Room that comes without renting anything more.
+    /// Capacity that comes without provisioning anything more.
     fn incoming_capacity(&self, now: Micros) -> Vec<Bin> {
         let mut bins = Vec::new();
         let offered_within = self.config.retry + self.config.jitter.scaled(2, 1);
@@ -314,7 +314,7 @@
                     }
                 }
             }
-            // Guards against renting once more for tasks that wait a moment longer for their next offer.
+            // Guards against provisioning once more for tasks that wait a moment longer for their next offer.
             let just_up = m.takes_offers()
                 && m.is_empty()
                 && m.idle_since.is_some_and(|t| now.since(t) <= offered_within);
@@ -349,7 +349,7 @@
         p.is_some_and(|p| p.stopping.is_some())
     }
 
-    /// Whether a task is done so soon, by its owner's estimate, that renting would not help sooner.
+    /// Whether a task is done so soon, by its owner's estimate, that provisioning would not help sooner.
     fn ends_within(&self, task: &TaskId, limit: Micros, now: Micros) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
@@ -383,7 +383,7 @@
         }
     }
 
-    /// Finds coming room for some of these tasks of a job, or adds a machine to provision; none where nothing can be had.
+    /// Finds incoming capacity for some of these tasks of a job, or adds a machine to provision; none where there is none.
     fn plan_tasks(
         &self,
         job: &Job,
--- a/src/scheduler/writes.rs
+++ b/src/scheduler/writes.rs
@@ -1,6 +1,6 @@
-//! What is to be written down, in batches, and what becomes of a batch.
+//! Pending writes, in batches, and what follows from a batch's outcome.
 //!
-//! Only one batch is under way at a time; the controller reports its outcome before it asks for the next.
+//! Only one batch is in flight at a time; the controller reports its outcome before it requests the next.
 
 use super::Scheduler;
 use super::ids::{JobId, MachineId};
@@ -12,7 +12,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
 
-/// Most changes of one write, those that remove records aside.
+/// Maximum of changes of one write, those that remove records aside.
 const MAX_OPS_PER_WRITE: usize = 3;
 /// Where writes are short, finishes wait so long for others of their job.
 const MAX_FINISH_DELAY: Micros = Micros::secs(10);
@@ -177,7 +177,7 @@
     /// What is to be written next, at most `ops` puts and deletes and about `bytes`; where writes are `short` only what
     /// users and workers wait for.
     ///
-    /// Only one batch may be under way: its outcome must be told before the next is asked for.
+    /// Only one batch may be in flight: its outcome must be reported before the next is requested.
     pub fn next_batch(&mut self, ops: usize, bytes: usize, short: bool) -> Vec<Write> {
         let mut batch = Vec::new();
         let mut left = ops;
@@ -237,10 +237,10 @@
         batch
     }
 
-    /// When a chunk changed, if nobody waits for that: its job goes on, nothing is newly placed, and it changed just now.
+    /// Returns when a chunk changed if its write may be deferred: its job goes on, nothing is newly placed, and it is recent.
     ///
     /// Guards against the finishes of many short tasks, each written by itself, that use up the writes for which starts
-    /// wait. What is not written yet still stands in the workers' reports, as it is not cleared before.
+    /// wait. What is not written yet is still in the workers' heartbeats, as it is not cleared before.
     fn deferrable_since(&self, id: &JobId, number: u32) -> Option<Micros> {
         let job = self.jobs.get(id)?;
         let chunk = job.chunks.get(&number)?;
