--- a/src/scheduler/failure_detection/mod.rs
+++ b/src/scheduler/failure_detection/mod.rs
@@ -162,7 +162,10 @@
     /// Terminates machines that failed, as only then their tasks may run elsewhere.
     pub(super) fn terminate_lost(&mut self, now: Micros) {
         self.count_steps(self.machines.len());
-        self.update_provisioning_times(now);
+        let slow_zones = self
+            .provisioning_times
+            .update(&self.machines, &self.machine_types, now);
+        self.events.extend(slow_zones);
         let mut failed = self.failed_by_list_or_provisioning(now);
         let timed_out =
             self.failure_detector
@@ -174,12 +177,13 @@
         );
         let mut lost: BTreeMap<(LossCause, String, bool), Vec<MachineId>> = BTreeMap::new();
         for (id, cause) in failed {
-            if cause == LossCause::ProvisioningTimeout {
-                self.observe_provisioning(&id, false, now);
-            }
             let Some(m) = self.machines.get_mut(&id) else {
                 continue;
             };
+            if cause == LossCause::ProvisioningTimeout {
+                self.provisioning_times
+                    .observe(m, &self.machine_types, false, now);
+            }
             m.state = MachineState::Terminating;
             let cause = self.failure_detector.recent_failures.record(m, cause, now);
             let group = (cause, m.zone.clone(), m.spot);
@@ -192,6 +196,7 @@
 
     /// The machines that the cloud reports gone, or that did not come up in time.
     fn failed_by_list_or_provisioning(&self, now: Micros) -> Vec<(MachineId, LossCause)> {
+        let types = &self.machine_types;
         let mut failed = Vec::new();
         for (id, m) in &self.machines {
             if m.state == MachineState::Terminating {
@@ -199,7 +204,7 @@
             }
             if m.lost {
                 failed.push((id.clone(), LossCause::Gone));
-            } else if self.is_provisioning_timed_out(m, now) {
+            } else if self.provisioning_times.is_timed_out(m, types, now) {
                 failed.push((id.clone(), LossCause::ProvisioningTimeout));
             }
         }
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -76,7 +76,8 @@
         let noticed = r.notice_s.is_some() && m.notice.is_none();
         m.notice = r.notice_s.map(|s| now + Micros::from_secs_f64(s));
         if comes_up {
-            self.observe_provisioning(&r.machine, true, now);
+            self.provisioning_times
+                .observe(m, &self.machine_types, true, now);
         }
         let mut changed = self.reconcile_placements(r, &index, now);
         changed |= self.reconcile_unplaced(r, now);
--- a/src/scheduler/provisioning_times.rs
+++ b/src/scheduler/provisioning_times.rs
@@ -1,6 +1,5 @@
 //! How long machines take to come up: which late ones have timed out, and which are only as late as all of their zone.
 
-use super::Scheduler;
 use super::events::SchedulerEvent;
 use super::ids::MachineId;
 use super::machine::{Machine, MachineState};
@@ -45,13 +44,57 @@
             ON_TIME_TENTHS
         }
     }
+
+    /// Counts a boot of this length, or one that timed out.
+    fn count(&mut self, tenths: Option<u64>) {
+        if tenths.is_some_and(|t| t <= ON_TIME_TENTHS) {
+            self.on_time += 1;
+        } else {
+            self.late += 1;
+            self.slowest = self.slowest.max(tenths.unwrap_or_default());
+        }
+    }
+
+    fn event(&self, name: &str) -> SchedulerEvent {
+        let (zone, late, on_time) = (name.to_owned(), self.late, self.on_time);
+        if self.is_slow() {
+            SchedulerEvent::ProvisioningSlow {
+                zone,
+                late,
+                on_time,
+            }
+        } else {
+            SchedulerEvent::ProvisioningNormal {
+                zone,
+                late,
+                on_time,
+            }
+        }
+    }
+}
+
+/// Machine types by name.
+type MachineTypes = BTreeMap<String, MachineType>;
+
+/// The usual boot time of a machine whose type is not known.
+const UNKNOWN_BOOT: Micros = Micros::secs(60);
+
+/// A machine that came up or timed out.
+#[derive(Debug)]
+struct Observation {
+    at: Micros,
+    zone: String,
+    /// How long it took, in tenths of the usual time; none if it did not come up.
+    tenths: Option<u64>,
 }
 
 /// Recent boots, and what they say of each zone.
+///
+/// `zones` is as of the last [`update`](ProvisioningTimes::update).
 #[derive(Debug, Default)]
 pub(super) struct ProvisioningTimes {
-    /// Machines that came up or timed out: when, where, and after how many tenths of the usual time, if at all.
-    observations: VecDeque<(Micros, String, Option<u64>)>,
+    /// The oldest first.
+    observations: VecDeque<Observation>,
     zones: BTreeMap<String, Zone>,
 }
 
@@ -60,125 +103,93 @@
     pub(super) fn is_slow(&self, zone: &str) -> bool {
         self.zones.get(zone).is_some_and(Zone::is_slow)
     }
-}
 
-impl Scheduler {
-    /// How long a machine has been booting, in tenths of the usual time.
-    fn provisioning_tenths(&self, m: &Machine, now: Micros) -> u64 {
-        let boot = self
-            .machine_types
-            .get(&m.machine_type)
-            .map(MachineType::boot);
-        let boot = boot.unwrap_or(Micros::secs(60)).0.max(1);
-        now.since(m.since).0.saturating_mul(10) / boot
+    fn zone(&self, name: &str) -> Zone {
+        self.zones.get(name).copied().unwrap_or_default()
     }
 
-    /// Takes in that a machine provisioned by this leader came up or timed out.
-    pub(super) fn observe_provisioning(&mut self, machine: &MachineId, up: bool, now: Micros) {
-        let Some(m) = self
-            .machines
-            .get(machine)
-            .filter(|m| m.is_provisioned_by_this_term)
-        else {
-            return;
-        };
-        let took = up.then(|| self.provisioning_tenths(m, now));
-        let observations = (now, m.zone.clone(), took);
-        self.provisioning_times.observations.push_back(observations);
+    /// Takes in that a machine came up or timed out. What an earlier leader provisioned does not count.
+    pub(super) fn observe(&mut self, m: &Machine, types: &MachineTypes, up: bool, now: Micros) {
+        if m.is_provisioned_by_this_term {
+            self.observations.push_back(Observation {
+                at: now,
+                zone: m.zone.clone(),
+                tenths: up.then(|| provisioning_tenths(m, types, now)),
+            });
+        }
     }
 
-    /// Updates the observations of each zone.
+    /// Updates the observations of each zone. Returns an event for each that became slow, or normal again.
     ///
     /// Guards against replacing, again and again, every new machine of a time in which all take several times as long:
     /// none of them would ever come up.
-    pub(super) fn update_provisioning_times(&mut self, now: Micros) {
-        let old = |(at, _, _): &(Micros, String, Option<u64>)| now.since(*at) > OBSERVATION_WINDOW;
-        while self
-            .provisioning_times
-            .observations
-            .front()
-            .is_some_and(old)
-        {
-            self.provisioning_times.observations.pop_front();
+    pub(super) fn update(
+        &mut self,
+        machines: &BTreeMap<MachineId, Machine>,
+        types: &MachineTypes,
+        now: Micros,
+    ) -> Vec<SchedulerEvent> {
+        let expired = |o: &Observation| now.since(o.at) > OBSERVATION_WINDOW;
+        while self.observations.front().is_some_and(expired) {
+            self.observations.pop_front();
         }
         let mut zones: BTreeMap<String, Zone> = BTreeMap::new();
-        for (_, name, took) in &self.provisioning_times.observations {
-            let zone = zones.entry(name.clone()).or_default();
-            match took {
-                Some(tenths) if *tenths <= ON_TIME_TENTHS => zone.on_time += 1,
-                Some(tenths) => {
-                    zone.late += 1;
-                    zone.slowest = zone.slowest.max(*tenths);
-                }
-                None => zone.late += 1,
-            }
+        for observation in &self.observations {
+            let zone = zones.entry(observation.zone.clone()).or_default();
+            zone.count(observation.tenths);
         }
-        for m in self.machines.values() {
-            if m.newest.is_none() && self.is_late(m, now) {
+        for m in machines.values() {
+            if m.newest.is_none() && is_late(m, types, now) {
                 zones.entry(m.zone.clone()).or_default().late += 1;
             }
         }
-        for (name, zone) in &zones {
-            if zone.is_slow() != self.provisioning_times.is_slow(name) {
-                let (name, late, on_time) = (name.clone(), zone.late, zone.on_time);
-                self.events.push(if zone.is_slow() {
-                    SchedulerEvent::ProvisioningSlow {
-                        zone: name,
-                        late,
-                        on_time,
-                    }
-                } else {
-                    SchedulerEvent::ProvisioningNormal {
-                        zone: name,
-                        late,
-                        on_time,
-                    }
-                });
-            }
-        }
-        self.provisioning_times.zones = zones;
-    }
-
-    /// Whether a machine is past the usual boot time, and this leader has not heard of it meanwhile. A
-    /// new leader first gives it the time to report.
-    fn is_late(&self, m: &Machine, now: Micros) -> bool {
-        let boot = self
-            .machine_types
-            .get(&m.machine_type)
-            .map(MachineType::boot);
-        let quiet = boot.unwrap_or(Micros::secs(60)).scaled(1, 2);
-        m.state == MachineState::Provisioning
-            && m.reserved.is_empty()
-            && now.since(m.last_contact) > quiet
-            && self.provisioning_tenths(m, now) > ON_TIME_TENTHS
+        let changed = zones
+            .iter()
+            .filter(|(name, zone)| zone.is_slow() != self.is_slow(name));
+        let events = changed.map(|(name, zone)| zone.event(name)).collect();
+        self.zones = zones;
+        events
     }
 
     /// Whether a machine has not come up within its zone's provisioning timeout.
-    pub(super) fn is_provisioning_timed_out(&self, m: &Machine, now: Micros) -> bool {
-        let zone = self
-            .provisioning_times
-            .zones
-            .get(&m.zone)
-            .copied()
-            .unwrap_or_default();
+    pub(super) fn is_timed_out(&self, m: &Machine, types: &MachineTypes, now: Micros) -> bool {
         let reported = m.newest.is_some();
-        self.is_late(m, now)
-            && (reported || self.provisioning_tenths(m, now) > zone.timeout_tenths())
+        let timeout = self.zone(&m.zone).timeout_tenths();
+        is_late(m, types, now) && (reported || provisioning_tenths(m, types, now) > timeout)
     }
 
     /// Whether a machine that boots counts as incoming capacity.
-    pub(super) fn is_provisioned_soon(&self, m: &Machine, now: Micros) -> bool {
-        let zone = self
-            .provisioning_times
-            .zones
-            .get(&m.zone)
-            .copied()
-            .unwrap_or_default();
+    pub(super) fn is_provisioned_soon(
+        &self,
+        m: &Machine,
+        types: &MachineTypes,
+        now: Micros,
+    ) -> bool {
+        let zone = self.zone(&m.zone);
         let limit = if zone.is_slow() && zone.slowest == 0 {
             SLOW_REPLACEMENT_TENTHS
         } else {
             zone.timeout_tenths() - REPLACEMENT_LEAD_TENTHS
         };
-        self.provisioning_tenths(m, now) < limit
+        provisioning_tenths(m, types, now) < limit
     }
 }
+
+fn usual_boot(m: &Machine, types: &MachineTypes) -> Micros {
+    let known = types.get(&m.machine_type);
+    known.map_or(UNKNOWN_BOOT, MachineType::boot)
+}
+
+/// How long a machine has been booting, in tenths of the usual time.
+fn provisioning_tenths(m: &Machine, types: &MachineTypes, now: Micros) -> u64 {
+    now.since(m.since).0.saturating_mul(10) / usual_boot(m, types).0.max(1)
+}
+
+/// Whether a machine is past the usual boot time, and this leader has not heard of it meanwhile. A new leader first gives
+/// it the time to report.
+fn is_late(m: &Machine, types: &MachineTypes, now: Micros) -> bool {
+    m.state == MachineState::Provisioning
+        && m.reserved.is_empty()
+        && now.since(m.last_contact) > usual_boot(m, types).scaled(1, 2)
+        && provisioning_tenths(m, types, now) > ON_TIME_TENTHS
+}
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -300,7 +300,9 @@
                 && reports_soon
                 && m.total != Resources::default()
                 && !m.lost
-                && self.is_provisioned_soon(m, now);
+                && self
+                    .provisioning_times
+                    .is_provisioned_soon(m, &self.machine_types, now);
             let mut free = m.free();
             let mut frees = false;
             let mut later = false;
