--- a/src/connections.rs
+++ b/src/connections.rs
@@ -40,10 +40,15 @@
 impl Connections {
     /// No connections yet.
     pub fn new(platform: &Platform) -> Connections {
+        let max_sockets = platform.facts.machine_limits.max_sockets;
+        Connections::with_limits(max_sockets, platform.report())
+    }
+
+    fn with_limits(max_sockets: usize, heartbeat_interval: Micros) -> Connections {
         Connections {
             open: Cell::new(0),
-            max: platform.facts.machine_limits.max_sockets * 4 / 5,
-            heartbeat_interval: platform.report(),
+            max: max_sockets * 4 / 5,
+            heartbeat_interval,
             is_shortage_logged: Cell::new(false),
         }
     }
@@ -102,3 +107,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/pause_detector.rs
+++ b/src/pause_detector.rs
@@ -34,3 +34,6 @@
         Some(gap)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/term/lease.rs
+++ b/src/term/lease.rs
@@ -88,3 +88,6 @@
 fn expiry(requested_at: Micros, ttl: Micros) -> Micros {
     requested_at + ttl.scaled(99, 100)
 }
+
+#[cfg(test)]
+mod tests;
