--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -10,12 +10,11 @@
 use crate::readiness::is_ready;
 use crate::scheduler::{JobEnd, JobId, JobOutcome, JobRecord, JobSpec};
 use crate::state_loss::StateLossRecovery;
-use crate::store::{ABORTED, JobStatus, StateCache, end_key, job_key};
+use crate::store::{ABORTED, JobStatus, StateCache, StoreKey, encode};
 use crate::units::Micros;
 use http_types::Method;
 use log::{debug, info};
 use serde::Serialize;
-use serde_json::json;
 use std::rc::Rc;
 
 /// How long a submission or cancellation is tried before its user is told to come back.
@@ -129,15 +128,13 @@
             spec: Rc::new(spec),
             at: self.clock.unix_time(),
         };
-        let value = json!(record);
+        let value = encode(&record);
         if value.to_string().len() as f64 > self.max_record_bytes {
             return HttpResponse::error(400, "submission too large");
         }
-        let conditions = [
-            Condition::absent(job_key(&id)),
-            Condition::absent(end_key(&id)),
-        ];
-        let put = [Change::put(job_key(&id), value)];
+        let key = StoreKey::Job(id.clone());
+        let conditions = [key.is_absent(), StoreKey::JobEnd(id.clone()).is_absent()];
+        let put = [Change::put(key.to_string(), value)];
         match self.commit(&conditions, &put).await {
             Some(Outcome::Applied(revision)) => {
                 self.store.record_commits(revision, &put);
@@ -273,8 +270,9 @@
             done: self.store.view.borrow().status(id).map_or(0, |s| s.done),
         };
         // The one key that decides between done and aborted; whoever writes it first.
-        let conditions = [Condition::absent(end_key(id))];
-        let put = [Change::put(end_key(id), json!(end))];
+        let key = StoreKey::JobEnd(id.clone());
+        let conditions = [key.is_absent()];
+        let put = [key.put(&end)];
         match self.commit(&conditions, &put).await {
             Some(Outcome::Applied(revision)) => {
                 self.store.record_commits(revision, &put);
--- a/src/contacts.rs
+++ b/src/contacts.rs
@@ -6,12 +6,11 @@
 use crate::kv::{Change, KvClient, Urgency};
 use crate::membership::Membership;
 use crate::scheduler::MachineId;
-use crate::store::{StateCache, contacts_key};
+use crate::store::{StateCache, StoreKey};
 use crate::units::Micros;
 use event_listener::Event;
 use log::debug;
 use ravenhead_index::ExpiringMap;
-use serde_json::json;
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -206,7 +205,8 @@
             left = left.saturating_sub(bytes);
         }
         let put = |(part, some): (usize, Vec<&MachineId>)| {
-            Change::put(contacts_key(self.membership.node(), part), json!(some))
+            let node = self.membership.node().to_owned();
+            StoreKey::Contacts { node, part }.put(&some)
         };
         values.into_iter().enumerate().map(put).collect()
     }
--- a/src/election.rs
+++ b/src/election.rs
@@ -2,15 +2,14 @@
 //! token.
 
 use crate::clock::{Clock, sleep};
-use crate::kv::{Change, Condition, KvClient, KvError, Outcome, Urgency};
+use crate::kv::{Change, Condition, KvClient, KvError, Lookup, Outcome, Urgency};
 use crate::membership::Membership;
 use crate::state_loss::StateLossRecovery;
-use crate::store::{LEADER, LOSS, LeaderRecord, StateCache, TERM};
+use crate::store::{LeaderRecord, StateCache, StoreKey, encode};
 use crate::term::{LeaderLease, TermEnd};
 use crate::units::Micros;
 use futures_lite::FutureExt;
 use log::{debug, info};
-use serde_json::json;
 use std::rc::Rc;
 
 /// How often a controller checks whether there is a leader, beside every change of the view.
@@ -126,23 +125,17 @@
             incarnation: self.membership.incarnation(),
             lease,
         };
-        let mut conditions = vec![Condition::absent(LEADER.into())];
+        let mut conditions = vec![StoreKey::Leader.is_absent()];
         let mut writes = vec![
-            Change::Put {
-                key: LEADER.into(),
-                value: json!(record),
-                lease: Some(lease),
-            },
-            Change::put(TERM.into(), json!(node)),
+            StoreKey::Leader.put_with_lease(&record, lease),
+            StoreKey::Term.put(&node),
         ];
         // A loss that is to be rebuilt is written down together with who rebuilds it.
         if let Some(loss) = self.state_loss.loss_to_rebuild() {
             let view = self.store.view.borrow();
-            conditions.push(Condition {
-                key: LOSS.into(),
-                version: view.loss.as_ref().map_or(0, |l| l.version),
-            });
-            writes.push(Change::put(LOSS.into(), json!(loss)));
+            let version = view.loss.as_ref().map_or(0, |l| l.version);
+            conditions.push(StoreKey::Loss.has_version(version));
+            writes.push(StoreKey::Loss.put(&loss));
         }
         Campaign {
             record,
@@ -163,10 +156,13 @@
             Ok(Outcome::Conflict(_)) | Err(KvError::Refused(_)) => None,
             // It may have been applied: the key tells. If it is applied later, the lease has ended by then or the view
             // shows this node as the holder, and the lease is ended.
-            Err(_) => match self.kv.get(Urgency::Now, LEADER).await {
-                Ok(Ok(item)) if item.value == json!(record) => Some(item.version),
-                _ => None,
-            },
+            Err(_) => {
+                let key = StoreKey::Leader.to_string();
+                match self.kv.get(Urgency::Now, &key).await {
+                    Ok(Lookup::Found(item)) if item.value == encode(record) => Some(item.version),
+                    _ => None,
+                }
+            }
         }
     }
 
@@ -201,7 +197,7 @@
                         info!("event=leader_lease_renewal_restored token={}", lease.token);
                     }
                 }
-                Err(KvError::NoLease) => return TermEnd::LeaseExpired,
+                Err(KvError::LeaseNotFound) => return TermEnd::LeaseExpired,
                 Err(e) => {
                     debug!("event=renewal_failed error={:?}", e.to_string());
                     if !is_outage_logged && !lease.is_valid(self.clock.now()) {
--- a/src/kv/error.rs
+++ b/src/kv/error.rs
@@ -5,7 +5,7 @@
 use thiserror::Error;
 
 /// Why the state service did not do what was asked.
-#[derive(Debug, Error)]
+#[derive(Error)]
 pub enum KvError {
     /// Certainly not executed: the service refused it (429 or 503), or no connection came about.
     #[error("refused: {0}")]
@@ -15,10 +15,10 @@
     Unknown(#[source] FailureCause),
     /// The lease does not exist: it expired or was revoked.
     #[error("no such lease")]
-    NoLease,
+    LeaseNotFound,
     /// The watch began at a revision whose changes the service no longer keeps; the keys must be listed anew.
     #[error("watch too old")]
-    TooOld,
+    Compacted,
     /// The response does not follow the protocol.
     #[error("malformed: {0}")]
     Malformed(#[source] MalformedResponse),
@@ -47,17 +47,10 @@
     #[error("status {0}")]
     Status(u16),
     /// The connection failed.
-    #[error("{}", transport_reason(.0))]
+    #[error("{}", .0.reason())]
     Transport(#[source] HttpError),
 }
 
-/// The reason alone: whether the request was sent is said by the [`KvError`] around it.
-fn transport_reason(error: &HttpError) -> &dyn fmt::Display {
-    match error {
-        HttpError::NotSent(reason) | HttpError::NoAnswer(reason) => reason,
-    }
-}
-
 /// How a response breaks the protocol.
 #[derive(Error)]
 pub enum MalformedResponse {
@@ -74,7 +67,19 @@
     },
 }
 
-// Log lines print causes with `{:?}`, as one quoted string whatever stands behind it.
+// Log lines print errors with `{:?}`: in the words that earlier releases logged, and causes as one quoted string.
+
+impl fmt::Debug for KvError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            KvError::Refused(cause) => f.debug_tuple("Refused").field(cause).finish(),
+            KvError::Unknown(cause) => f.debug_tuple("Unknown").field(cause).finish(),
+            KvError::LeaseNotFound => f.write_str("NoLease"),
+            KvError::Compacted => f.write_str("TooOld"),
+            KvError::Malformed(response) => f.debug_tuple("Malformed").field(response).finish(),
+        }
+    }
+}
 
 impl fmt::Debug for FailureCause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/src/kv/items.rs
+++ b/src/kv/items.rs
@@ -53,7 +53,7 @@
     /// # Errors
     ///
     /// Fails where no usable response came in time; a key that does not exist is [`Lookup::Absent`].
-    pub async fn lookup(&self, urgency: Urgency, key: &str) -> Result<Lookup, KvError> {
+    pub async fn get(&self, urgency: Urgency, key: &str) -> Result<Lookup, KvError> {
         self.budget.pace(urgency, 0).await;
         let expected = self.loss_detector.expect();
         let path = format!("/keys/{key}");
@@ -69,14 +69,6 @@
         }
     }
 
-    /// Reads one key like [`KvClient::lookup`]; the inner result has the item, or the revision as of which there is none.
-    pub async fn get(&self, urgency: Urgency, key: &str) -> Result<Result<Item, u64>, KvError> {
-        Ok(match self.lookup(urgency, key).await? {
-            Lookup::Found(item) => Ok(item),
-            Lookup::Absent { revision } => Err(revision),
-        })
-    }
-
     /// Returns a page of the keys with a prefix, in order, beginning after the key `from`; an empty `from` is the beginning.
     ///
     /// # Errors
--- a/src/kv/lease.rs
+++ b/src/kv/lease.rs
@@ -28,14 +28,14 @@
     ///
     /// # Errors
     ///
-    /// [`KvError::NoLease`] if the lease has ended. After any other error it may have been extended or not.
+    /// [`KvError::LeaseNotFound`] if the lease has ended. After any other error it may have been extended or not.
     pub async fn extend(&self, lease: u64) -> Result<(), KvError> {
         self.budget.pace(Urgency::Now, 0).await;
         let path = format!("/holds/{lease}/extend");
         let response = self.call(Method::Post, &path, None).await?;
         match response.status {
             200 => Ok(()),
-            404 => Err(KvError::NoLease),
+            404 => Err(KvError::LeaseNotFound),
             _ => Err(response.unexpected()),
         }
     }
--- a/src/kv/response.rs
+++ b/src/kv/response.rs
@@ -20,7 +20,7 @@
         match status {
             429 | 503 => Err(KvError::Refused(FailureCause::Status(status))),
             400 if String::from_utf8_lossy(&body).contains("no such lease") => {
-                Err(KvError::NoLease)
+                Err(KvError::LeaseNotFound)
             }
             500..=599 => Err(KvError::Unknown(FailureCause::Status(status))),
             _ => Ok(Response { status, body }),
--- a/src/kv/watch.rs
+++ b/src/kv/watch.rs
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// [`KvError::TooOld`] if the service no longer keeps the changes after `from`.
+    /// [`KvError::Compacted`] if the service no longer keeps the changes after `from`.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -71,7 +71,7 @@
                 self.loss_detector.observe(expected, changes.revision);
                 Ok(changes)
             }
-            410 => Err(KvError::TooOld),
+            410 => Err(KvError::Compacted),
             _ => Err(response.unexpected()),
         }
     }
--- a/src/leader/commit.rs
+++ b/src/leader/commit.rs
@@ -2,12 +2,12 @@
 
 use super::RETRY_PAUSE;
 use crate::clock::{Clock, sleep};
-use crate::kv::{Change, Condition, KvClient, KvError, Outcome, Urgency};
+use crate::kv::{Change, Condition, KvClient, KvError, Lookup, Outcome, Urgency};
 use crate::scheduler::{JobEnd, JobId, JobOutcome, Write};
-use crate::store::{LEADER, StateCache, chunk_key, end_key, images_key, job_key};
+use crate::store::{StateCache, StoreKey, encode};
 use crate::term::{LeaderTerm, TermEnd};
 use log::{debug, info, warn};
-use serde_json::{Value, json};
+use serde_json::Value;
 use std::collections::BTreeMap;
 
 /// Writes the batches of a term.
@@ -60,7 +60,7 @@
                     return self.resolve_conflict(&attempt, &failed).await;
                 }
                 Err(KvError::Refused(e)) => debug!("event=write_refused error={e:?}"),
-                Err(e @ (KvError::Malformed(_) | KvError::NoLease | KvError::TooOld)) => {
+                Err(e @ (KvError::Malformed(_) | KvError::LeaseNotFound | KvError::Compacted)) => {
                     warn!("event=write_failed error={:?}", e.to_string());
                     return Err(TermEnd::WriteRejected);
                 }
@@ -90,7 +90,7 @@
         attempt: &Attempt<'_>,
         failed: &[String],
     ) -> Result<(), TermEnd> {
-        if failed.iter().any(|k| k == LEADER) {
+        if failed.contains(&StoreKey::Leader.to_string()) {
             return Err(TermEnd::LeaderKeyChanged);
         }
         if attempt.is_uncertain
@@ -103,7 +103,7 @@
             .batch
             .iter()
             .filter_map(Write::job)
-            .filter(|job| failed.contains(&end_key(job)))
+            .filter(|job| failed.contains(&end_key(job).to_string()))
             .cloned()
             .collect();
         if ended.is_empty() {
@@ -125,10 +125,15 @@
             return Ok(None);
         };
         let (key, expected) = first_write(first, attempt.at);
+        let key = key.to_string();
         loop {
             match self.kv.get(Urgency::Now, &key).await {
-                Ok(Ok(item)) => return Ok((Some(item.value) == expected).then_some(item.version)),
-                Ok(Err(revision)) => return Ok(expected.is_none().then_some(revision)),
+                Ok(Lookup::Found(item)) => {
+                    return Ok((Some(item.value) == expected).then_some(item.version));
+                }
+                Ok(Lookup::Absent { revision }) => {
+                    return Ok(expected.is_none().then_some(revision));
+                }
                 Err(KvError::Refused(_) | KvError::Unknown(_)) => {
                     sleep(RETRY_PAUSE).await;
                 }
@@ -146,94 +151,111 @@
 
 impl Transaction {
     fn new(leader: Condition, batch: &[Write], at: u64) -> Transaction {
-        let mut versions = BTreeMap::new();
-        versions.insert(leader.key, leader.version);
-        let mut changes = Vec::new();
+        let mut builder = TransactionBuilder::default();
+        builder.versions.insert(leader.key, leader.version);
         for write in batch {
-            add_write(write, at, &mut versions, &mut changes);
+            builder.add(write, at);
         }
-        let conditions = versions
-            .into_iter()
-            .map(|(key, version)| Condition { key, version });
+        let versions = builder.versions.into_iter();
         Transaction {
-            conditions: conditions.collect(),
-            changes,
+            conditions: versions
+                .map(|(key, version)| Condition { key, version })
+                .collect(),
+            changes: builder.changes,
         }
     }
 }
 
-/// Adds the conditions, as versions of keys, and the changes of one write.
-fn add_write(
-    write: &Write,
-    at: u64,
-    versions: &mut BTreeMap<String, u64>,
-    changes: &mut Vec<Change>,
-) {
-    match write {
-        Write::Chunk {
-            job,
-            chunk,
-            record,
-            version,
-            places,
-        } => {
-            let key = chunk_key(job, *chunk);
-            versions.insert(key.clone(), *version);
-            if *places {
-                versions.insert(end_key(job), 0);
+/// Collects a transaction's changes, and the version that each key in its conditions must have.
+#[derive(Default)]
+struct TransactionBuilder {
+    /// One version for each key, as several writes may be conditional on the same one.
+    versions: BTreeMap<String, u64>,
+    changes: Vec<Change>,
+}
+
+impl TransactionBuilder {
+    fn add(&mut self, write: &Write, at: u64) {
+        match write {
+            Write::Chunk {
+                job,
+                chunk,
+                record,
+                version,
+                places,
+            } => {
+                let key = chunk_key(job, *chunk);
+                self.require(&key, *version);
+                if *places {
+                    self.require(&end_key(job), 0);
+                }
+                self.changes.push(key.put(record));
+            }
+            Write::Done { job, tasks } => self.add_end(job, *tasks, at),
+            Write::Whole {
+                job,
+                tasks,
+                version,
+            } => {
+                self.add_end(job, *tasks, at);
+                self.delete_only_chunk(job, *version);
+                self.changes.push(job_key(job).delete());
             }
-            changes.push(Change::put(key, json!(record)));
+            Write::Images { machine, images } => {
+                let key = StoreKey::Images(machine.clone());
+                let change = images.as_ref().map(|images| key.put(images));
+                self.changes.push(change.unwrap_or_else(|| key.delete()));
+            }
+            Write::Forget { job, chunks, whole } => self.forget(job, chunks, *whole),
         }
-        Write::Done { job, tasks } => {
-            versions.insert(end_key(job), 0);
-            changes.push(Change::put(end_key(job), json!(done_record(*tasks, at))));
+    }
+
+    /// Removes the one chunk of a small job, which may never have been written.
+    fn delete_only_chunk(&mut self, job: &JobId, version: u64) {
+        let key = chunk_key(job, 0);
+        self.require(&key, version);
+        if version > 0 {
+            self.changes.push(key.delete());
         }
-        Write::Whole {
-            job,
-            tasks,
-            version,
-        } => {
-            versions.insert(end_key(job), 0);
-            changes.push(Change::put(end_key(job), json!(done_record(*tasks, at))));
-            let key = chunk_key(job, 0);
-            versions.insert(key.clone(), *version);
-            if *version > 0 {
-                changes.push(Change::Delete { key });
-            }
-            changes.push(Change::Delete { key: job_key(job) });
+    }
+
+    /// Removes chunks of a job that has ended, by number and version, and with the last of them its submission.
+    fn forget(&mut self, job: &JobId, chunks: &[(u32, u64)], is_last: bool) {
+        for (chunk, version) in chunks {
+            let key = chunk_key(job, *chunk);
+            self.require(&key, *version);
+            self.changes.push(key.delete());
         }
-        Write::Images {
-            machine,
-            images: Some(images),
-        } => changes.push(Change::put(images_key(machine), json!(images))),
-        Write::Images { machine, .. } => changes.push(Change::Delete {
-            key: images_key(machine),
-        }),
-        Write::Forget { job, chunks, whole } => {
-            for (chunk, version) in chunks {
-                let key = chunk_key(job, *chunk);
-                versions.insert(key.clone(), *version);
-                changes.push(Change::Delete { key });
-            }
-            if *whole {
-                changes.push(Change::Delete { key: job_key(job) });
-            }
+        if is_last {
+            self.changes.push(job_key(job).delete());
         }
     }
+
+    /// Adds the end of a job that is done, which must not have ended before.
+    fn add_end(&mut self, job: &JobId, tasks: u32, at: u64) {
+        let key = end_key(job);
+        self.require(&key, 0);
+        self.changes.push(key.put(&done_record(tasks, at)));
+    }
+
+    fn require(&mut self, key: &StoreKey, version: u64) {
+        self.versions.insert(key.to_string(), version);
+    }
 }
 
 /// The key of the first change of a write, and what it holds once that is applied: nothing, where the key is removed.
-fn first_write(write: &Write, at: u64) -> (String, Option<Value>) {
+fn first_write(write: &Write, at: u64) -> (StoreKey, Option<Value>) {
     match write {
         Write::Chunk {
             job, chunk, record, ..
-        } => (chunk_key(job, *chunk), Some(json!(record))),
+        } => (chunk_key(job, *chunk), Some(encode(record))),
         Write::Done { job, tasks } | Write::Whole { job, tasks, .. } => {
-            (end_key(job), Some(json!(done_record(*tasks, at))))
-        }
-        Write::Images { machine, images } => {
-            (images_key(machine), images.as_ref().map(|i| json!(i)))
+            (end_key(job), Some(encode(&done_record(*tasks, at))))
         }
+        Write::Images { machine, images } => (
+            StoreKey::Images(machine.clone()),
+            images.as_ref().map(encode),
+        ),
         Write::Forget { job, chunks, .. } => match chunks.first() {
             Some((chunk, _)) => (chunk_key(job, *chunk), None),
             None => (job_key(job), None),
@@ -241,6 +263,19 @@
     }
 }
 
+fn job_key(job: &JobId) -> StoreKey {
+    StoreKey::Job(job.clone())
+}
+
+fn end_key(job: &JobId) -> StoreKey {
+    StoreKey::JobEnd(job.clone())
+}
+
+fn chunk_key(job: &JobId, chunk: u32) -> StoreKey {
+    let job = job.clone();
+    StoreKey::Chunk { job, chunk }
+}
+
 fn done_record(tasks: u32, at: u64) -> JobEnd {
     JobEnd {
         outcome: JobOutcome::Done,
--- a/src/leader/inventory.rs
+++ b/src/leader/inventory.rs
@@ -2,13 +2,12 @@
 
 use crate::clock::{Clock, sleep};
 use crate::cloud::Cloud;
-use crate::kv::{Change, KvClient, Urgency};
+use crate::kv::{KvClient, Urgency};
 use crate::scheduler::MachineType;
-use crate::store::{MACHINE_TYPES, StateCache};
+use crate::store::{StateCache, StoreKey};
 use crate::term::{LeaderTerm, TermEnd};
 use crate::units::Micros;
 use log::{debug, warn};
-use serde_json::json;
 
 /// How often the machine types are read.
 const MACHINE_TYPES_INTERVAL: Micros = Micros::secs(30);
@@ -58,7 +57,7 @@
         if known.is_some_and(|k| is_same_but_prices(&k.value, machine_types)) {
             return MACHINE_TYPES_INTERVAL;
         }
-        let put = Change::put(MACHINE_TYPES.into(), json!(machine_types));
+        let put = StoreKey::MachineTypes.put(&machine_types);
         let conditions = [self.term.leader_condition()];
         match self.kv.txn(Urgency::Now, &conditions, &[put]).await {
             Ok(_) => MACHINE_TYPES_INTERVAL,
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -6,11 +6,10 @@
 use crate::http::join_all;
 use crate::kv::{Change, KvClient, Outcome, Urgency};
 use crate::scheduler::{MachineId, ScaleOutRequest};
-use crate::store::{ProvisioningRecord, provisioning_key};
+use crate::store::{ProvisioningRecord, StoreKey};
 use crate::term::LeaderTerm;
 use crate::units::Micros;
 use log::{debug, info};
-use serde_json::json;
 
 /// Tries of one provisioning request.
 const MAX_PROVISIONING_ATTEMPTS: usize = 3;
@@ -170,11 +169,11 @@
         forgotten: Vec<String>,
     ) -> bool {
         let puts = records.iter().map(|record| {
-            Change::put(provisioning_key(&record.rental.request_name), json!(record))
-        });
-        let deletes = forgotten.iter().map(|request_name| Change::Delete {
-            key: provisioning_key(request_name),
+            let name = record.rental.request_name.clone();
+            StoreKey::Provisioning(name).put(record)
         });
+        let forgotten_keys = forgotten.iter().cloned().map(StoreKey::Provisioning);
+        let deletes = forgotten_keys.map(|key| key.delete());
         let changes: Vec<Change> = puts.chain(deletes).collect();
         let when = [self.term.leader_condition()];
         let mut good = false;
--- a/src/state_loss/follower.rs
+++ b/src/state_loss/follower.rs
@@ -4,12 +4,11 @@
 use super::plan::unknown_to;
 use super::{RETRY_PAUSE, StateLossRecovery};
 use crate::clock::sleep;
-use crate::kv::{Change, Condition, KvError, Outcome, Urgency};
-use crate::store::{CandidateRecord, View, candidate_key, end_key, job_key};
+use crate::kv::{Change, KvError, Outcome, Urgency};
+use crate::store::{CandidateRecord, StoreKey, View};
 use crate::units::Micros;
 use log::info;
 use ravenhead_recovery::Evidence;
-use serde_json::json;
 
 /// How often it is checked what there is to do.
 const CHECK_INTERVAL: Micros = Micros::millis(250);
@@ -69,7 +68,8 @@
     }
 
     async fn put_candidate(&self, record: &CandidateRecord) -> bool {
-        let put = Change::put(candidate_key(self.membership.node()), json!(record));
+        let node = self.membership.node().to_owned();
+        let put = StoreKey::RebuildCandidate(node).put(record);
         let written = self.kv.txn(Urgency::Now, &[], &[put]).await;
         matches!(written, Ok(Outcome::Applied(_)))
     }
@@ -108,11 +108,11 @@
         };
         for (id, key, value) in changes {
             // An end is written once for ever, a submission only of a job that nobody knows.
-            let mut when = vec![Condition::absent(end_key(&id))];
-            if key == job_key(&id) {
-                when.push(Condition::absent(key.clone()));
+            let mut when = vec![StoreKey::JobEnd(id.clone()).is_absent()];
+            if matches!(key, StoreKey::Job(_)) {
+                when.push(key.is_absent());
             }
-            let put = Change::put(key, value);
+            let put = Change::put(key.to_string(), value);
             loop {
                 match self
                     .kv
--- a/src/state_loss/plan.rs
+++ b/src/state_loss/plan.rs
@@ -2,11 +2,10 @@
 
 use super::StateLossRecovery;
 use crate::scheduler::{JobEnd, JobId, JobOutcome};
-use crate::store::{
-    ArchivedEnd, MACHINE_TYPES, View, archive_key, chunk_key, end_key, job_key, provisioning_key,
-};
+use crate::store::{ArchivedEnd, StoreKey, View, encode};
 use ravenhead_recovery::{Restore, Stored, missing};
-use serde_json::{Value, json};
+use serde::Serialize;
+use serde_json::Value;
 use std::collections::BTreeMap;
 
 /// Bytes of an archived end, with room to spare.
@@ -37,12 +36,11 @@
             .into_iter()
             .partition(|(id, _)| snapshot.jobs.contains_key(*id) || view.jobs.contains_key(*id));
         // Only ends that are not there are among these: whatever their version, there is nothing that they could replace.
-        let new = |(key, value): (String, Value)| (key, Stored { value, version: 1 });
         let mut records: Vec<(String, Stored<Value>)> = of_records
             .iter()
-            .map(|(id, end)| new((end_key(id), json!(end))))
+            .map(|(id, end)| new_record(&StoreKey::JobEnd((*id).clone()), end))
             .collect();
-        records.extend(self.archives(number, &archived, &view).into_iter().map(new));
+        records.extend(self.archives(number, &archived, &view));
         records.extend(snapshot.records(&view));
         missing(records, &view.present())
     }
@@ -53,7 +51,7 @@
         number: u64,
         ends: &[(&JobId, JobEnd)],
         view: &View,
-    ) -> Vec<(String, Value)> {
+    ) -> Vec<(String, Stored<Value>)> {
         let value_bytes = self.limits.value_kb * 1024.0;
         let most = (value_bytes as usize / ARCHIVED_BYTES).max(1);
         // A rebuild that was cut off may have written some of this loss already.
@@ -66,12 +64,27 @@
                     end: *end,
                 });
                 let some: Vec<ArchivedEnd> = some.collect();
-                (archive_key(number, first + part), json!(some))
+                let key = StoreKey::EndArchive {
+                    loss: number,
+                    part: first + part,
+                };
+                new_record(&key, &some)
             })
             .collect()
     }
 }
 
+/// A key that is written only where there is none: its version replaces nothing.
+fn new_record(key: &StoreKey, record: &impl Serialize) -> (String, Stored<Value>) {
+    stored_record(key, record, 1)
+}
+
+/// A key as it is stored.
+fn stored_record(key: &StoreKey, record: &impl Serialize, version: u64) -> (String, Stored<Value>) {
+    let value = encode(record);
+    (key.to_string(), Stored { value, version })
+}
+
 /// Keys in batches that a transaction holds.
 pub(super) fn batches(plan: &[Restore<Value>], ops: usize, bytes: usize) -> Vec<&[Restore<Value>]> {
     let mut batches = Vec::new();
@@ -91,17 +104,18 @@
 }
 
 /// What a snapshot has and the view lacks: ends of jobs, and jobs that are not ended.
-pub(super) fn unknown_to(view: &View, snapshot: &View) -> Vec<(JobId, String, Value)> {
+pub(super) fn unknown_to(view: &View, snapshot: &View) -> Vec<(JobId, StoreKey, Value)> {
     let ended = snapshot
         .ends
         .iter()
         .filter(|(id, _)| !view.ends.contains_key(*id));
-    let ended = ended.map(|(id, end)| (id.clone(), end_key(id), json!(end.value)));
+    let ended =
+        ended.map(|(id, end)| (id.clone(), StoreKey::JobEnd(id.clone()), encode(&end.value)));
     let open = snapshot
         .jobs
         .iter()
         .filter(|(id, _)| !view.knows(id) && !snapshot.ends.contains_key(*id));
-    let open = open.map(|(id, job)| (id.clone(), job_key(id), json!(job.value)));
+    let open = open.map(|(id, job)| (id.clone(), StoreKey::Job(id.clone()), encode(&job.value)));
     ended.chain(open).collect()
 }
 
@@ -109,32 +123,29 @@
     /// What a loss must not take away, ends aside: jobs and their runs, and machine types and provisioning requests that `now` lacks.
     fn records(&self, now: &View) -> Vec<(String, Stored<Value>)> {
         let mut records: Vec<(String, Stored<Value>)> = self.present().into_iter().collect();
-        let new = |key: String, value: Value| (key, Stored { value, version: 1 });
         if let Some(types) = &self.machine_types
             && now.machine_types.is_none()
         {
-            records.push(new(MACHINE_TYPES.to_owned(), json!(types.value)));
+            records.push(new_record(&StoreKey::MachineTypes, &types.value));
         }
         let provisioning = self.provisioning.iter();
         let provisioning = provisioning.filter(|(name, _)| !now.provisioning.contains_key(*name));
-        records
-            .extend(provisioning.map(|(name, rental)| new(provisioning_key(name), json!(rental))));
+        records.extend(
+            provisioning
+                .map(|(name, record)| new_record(&StoreKey::Provisioning(name.clone()), record)),
+        );
         records
     }
 
     /// What is stored of jobs and their runs.
     fn present(&self) -> BTreeMap<String, Stored<Value>> {
-        let stored = |value: Value, version: u64| Stored { value, version };
-        let mut present = BTreeMap::new();
-        for (id, job) in &self.jobs {
-            present.insert(job_key(id), stored(json!(job.value), job.version));
-        }
-        for (id, chunks) in &self.runs {
-            for (n, chunk) in chunks {
-                let chunk = stored(json!(chunk.value), chunk.version);
-                present.insert(chunk_key(id, *n), chunk);
-            }
-        }
-        present
+        let jobs = self.jobs.iter().map(|(id, job)| {
+            let key = StoreKey::Job(id.clone());
+            stored_record(&key, &job.value, job.version)
+        });
+        let chunks = self
+            .chunk_keys()
+            .map(|(key, chunk)| stored_record(&key, &chunk.value, chunk.version));
+        jobs.chain(chunks).collect()
     }
 }
--- a/src/state_loss/restore.rs
+++ b/src/state_loss/restore.rs
@@ -4,11 +4,11 @@
 use super::{CATCH_UP_TIMEOUT, RETRY_PAUSE, StateLossRecovery};
 use crate::clock::sleep;
 use crate::kv::{Change, Condition, MAX_BATCH_BYTES, Outcome, Urgency};
-use crate::store::{LEADER, LOSS, LossRecord};
+use crate::store::{LossRecord, StoreKey, encode};
 use crate::term::{LeaderLease, TermEnd};
 use log::{debug, info};
 use ravenhead_recovery::Restore;
-use serde_json::{Value, json};
+use serde_json::Value;
 
 impl StateLossRecovery {
     /// Writes what was lost, as the elected leader; an error says why the term has ended. Does nothing where nothing was lost.
@@ -55,8 +55,8 @@
                 ..found.value
             };
             let done = [Restore {
-                key: LOSS.to_owned(),
-                value: json!(record),
+                key: StoreKey::Loss.to_string(),
+                value: encode(&record),
                 replaces: found.version,
             }];
             if self.write(lease, &done).await? {
@@ -67,10 +67,7 @@
 
     /// Writes keys under the leader key; false where one of them is not as it was read, so that the plan must be made anew.
     async fn write(&self, lease: &LeaderLease, keys: &[Restore<Value>]) -> Result<bool, TermEnd> {
-        let leader = Condition {
-            key: LEADER.into(),
-            version: lease.revision,
-        };
+        let leader = StoreKey::Leader.has_version(lease.revision);
         let conditions = keys.iter().map(|restore| Condition {
             key: restore.key.clone(),
             version: restore.replaces,
@@ -93,7 +90,7 @@
                     }
                     return Ok(true);
                 }
-                Ok(Outcome::Conflict(failed)) if failed.iter().any(|k| k == LEADER) => {
+                Ok(Outcome::Conflict(failed)) if failed.contains(&StoreKey::Leader.to_string()) => {
                     return Err(TermEnd::LeaderKeyChanged);
                 }
                 Ok(Outcome::Conflict(failed)) => {
--- a/src/store.rs
+++ b/src/store.rs
@@ -12,10 +12,7 @@
 mod records;
 mod view;
 
-pub use keys::{
-    ABSENT_KEY, InvalidKey, LEADER, LOSS, MACHINE_TYPES, PREFIX, StoreKey, TERM, archive_key,
-    candidate_key, chunk_key, contacts_key, end_key, images_key, job_key, provisioning_key,
-};
+pub use keys::{InvalidKey, KeyKind, PREFIX, StoreKey};
 pub use loss::Loss;
 pub use records::{
     ArchivedEnd, CandidateRecord, InvalidRecord, LeaderRecord, LossRecord, ProvisioningRecord,
--- a/src/store/barrier.rs
+++ b/src/store/barrier.rs
@@ -5,9 +5,9 @@
 //! under way wait for the next one.
 
 use super::StateCache;
-use super::keys::ABSENT_KEY;
+use super::keys::StoreKey;
 use crate::clock::sleep;
-use crate::http::timeout;
+use crate::futures::timeout;
 use crate::kv::{Lookup, Urgency};
 use crate::units::Micros;
 use event_listener::Event;
@@ -112,7 +112,8 @@
 
     /// Reads the current revision, and returns whether the view reached it in time.
     async fn catch_up(&self) -> bool {
-        let read = self.kv.lookup(Urgency::Now, ABSENT_KEY);
+        let absent = StoreKey::Absent.to_string();
+        let read = self.kv.get(Urgency::Now, &absent);
         match timeout(READ_TIMEOUT, read).await {
             Some(Ok(Lookup::Absent { revision })) => {
                 self.mark_reachable();
--- a/src/store/follow.rs
+++ b/src/store/follow.rs
@@ -7,7 +7,7 @@
 use super::keys::PREFIX;
 use super::view::{View, ViewChange};
 use crate::clock::sleep;
-use crate::http::timeout;
+use crate::futures::timeout;
 use crate::kv::{Event as KeyEvent, Item, KvError};
 use crate::units::Micros;
 use futures_lite::FutureExt;
@@ -81,7 +81,7 @@
                         self.pause_watch().await;
                     }
                 }
-                Err(KvError::TooOld) => return,
+                Err(KvError::Compacted) => return,
                 Err(e) => {
                     debug!("event=watch_failed error={e:?}");
                     sleep(WATCH_RETRY_PAUSE).await;
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -6,16 +6,33 @@
 
 /// Everything this service keeps is below this prefix.
 pub const PREFIX: &str = "r/";
-/// The leader's key.
-pub const LEADER: &str = "r/leader";
-/// The last fencing token, without a lease.
-pub const TERM: &str = "r/term";
-/// The machine types.
-pub const MACHINE_TYPES: &str = "r/flavors";
-/// The record of the last loss of stored state.
-pub const LOSS: &str = "r/loss";
-/// A key that never exists: reading it tells the current revision.
-pub const ABSENT_KEY: &str = "r/nothing";
+const LEADER: &str = "r/leader";
+const TERM: &str = "r/term";
+const MACHINE_TYPES: &str = "r/flavors";
+const LOSS: &str = "r/loss";
+const ABSENT: &str = "r/nothing";
+
+/// Kinds of keys that are listed by their prefix.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum KeyKind {
+    /// [`StoreKey::Job`].
+    Job,
+    /// [`StoreKey::JobEnd`].
+    JobEnd,
+    /// [`StoreKey::Chunk`].
+    Chunk,
+}
+
+impl KeyKind {
+    /// Returns the prefix of all keys of this kind, and of no others.
+    pub const fn prefix(self) -> &'static str {
+        match self {
+            KeyKind::Job => "r/job/",
+            KeyKind::JobEnd => "r/end/",
+            KeyKind::Chunk => "r/run/",
+        }
+    }
+}
 
 /// A key of the state service, by what is stored under it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -95,7 +112,7 @@
             StoreKey::Term => f.write_str(TERM),
             StoreKey::MachineTypes => f.write_str(MACHINE_TYPES),
             StoreKey::Loss => f.write_str(LOSS),
-            StoreKey::Absent => f.write_str(ABSENT_KEY),
+            StoreKey::Absent => f.write_str(ABSENT),
         }
     }
 }
@@ -134,7 +151,7 @@
             TERM => Ok(StoreKey::Term),
             MACHINE_TYPES => Ok(StoreKey::MachineTypes),
             LOSS => Ok(StoreKey::Loss),
-            ABSENT_KEY => Ok(StoreKey::Absent),
+            ABSENT => Ok(StoreKey::Absent),
             _ => Err(InvalidKey::Unknown),
         }
     }
@@ -169,45 +186,3 @@
         part: part.parse().unwrap_or_default(),
     }
 }
-
-/// The key of a submission.
-pub fn job_key(id: &JobId) -> String {
-    StoreKey::Job(id.clone()).to_string()
-}
-
-/// The key of a job's end.
-pub fn end_key(id: &JobId) -> String {
-    StoreKey::JobEnd(id.clone()).to_string()
-}
-
-/// The key of a chunk of a job's tasks.
-pub fn chunk_key(id: &JobId, chunk: u32) -> String {
-    let job = id.clone();
-    StoreKey::Chunk { job, chunk }.to_string()
-}
-
-/// The key of a part of the machines that a controller hears from.
-pub fn contacts_key(node: &str, part: usize) -> String {
-    let node = node.to_owned();
-    StoreKey::Contacts { node, part }.to_string()
-}
-
-/// The key of a provisioning request, by its name.
-pub fn provisioning_key(request_name: &str) -> String {
-    StoreKey::Provisioning(request_name.to_owned()).to_string()
-}
-
-/// The key of the images that a machine has.
-pub fn images_key(machine: &MachineId) -> String {
-    StoreKey::Images(machine.clone()).to_string()
-}
-
-/// The key under which a controller says what it can rebuild from.
-pub fn candidate_key(node: &str) -> String {
-    StoreKey::RebuildCandidate(node.to_owned()).to_string()
-}
-
-/// The key of a part of the archive of job ends, after a loss.
-pub fn archive_key(loss: u64, part: usize) -> String {
-    StoreKey::EndArchive { loss, part }.to_string()
-}
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -3,7 +3,7 @@
 //! Records of jobs, their chunks and their ends are the scheduler's own; see `scheduler::records`.
 
 use super::keys::{InvalidKey, StoreKey};
-use crate::cloud::ProvisioningRequest;
+use crate::cloud_types::ProvisioningRequest;
 use crate::kv::{Change, Condition};
 use crate::scheduler::{JobEnd, JobId, MachineId, Pool};
 use serde::{Deserialize, Serialize};
@@ -62,7 +62,7 @@
 
     /// The condition that the key does not exist.
     pub fn is_absent(&self) -> Condition {
-        self.has_version(0)
+        Condition::absent(self.to_string())
     }
 
     /// The condition that the key was last written at this revision, or does not exist where it is 0.
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -1,4 +1,4 @@
-use super::keys::{InvalidKey, LEADER, MACHINE_TYPES, StoreKey, contacts_key, provisioning_key};
+use super::keys::{InvalidKey, KeyKind, StoreKey};
 use super::records::{InvalidRecord, ProvisioningRecord};
 use super::view::View;
 use crate::scheduler::{ChunkRecord, JobEnd, JobId, JobRecord, MachineId, MachineType};
@@ -42,10 +42,10 @@
 fn stale_removal_does_not_undo_newer_write() {
     let mut view = View::default();
     let leader = json!({"node": "n-1", "incarnation": 4, "lease": 3});
-    view.put(LEADER, leader, 12).expect("a leader");
-    view.delete(LEADER, 9);
+    view.put("r/leader", leader, 12).expect("a leader");
+    view.delete("r/leader", 9);
     assert_eq!(view.leader.as_ref().map(|l| l.version), Some(12));
-    view.delete(LEADER, 13);
+    view.delete("r/leader", 13);
     assert!(view.leader.is_none());
 }
 
@@ -85,9 +85,6 @@
     let end = json!({"how": "aborted", "at": 9, "done": 3});
     let read: JobEnd = serde_json::from_value(end.clone()).expect("an end");
     assert_eq!(json!(read), end);
-    assert_eq!(MACHINE_TYPES, "r/flavors");
-    assert_eq!(contacts_key("n-1", 0), "r/heard/n-1/0");
-    assert_eq!(provisioning_key("r-7-0"), "r/rental/r-7-0");
 }
 
 // Guards against a release that can't find what another stored.
@@ -107,6 +104,13 @@
         (StoreKey::JobEnd(id("j-1")), "r/end/j-1"),
         (chunk, "r/run/j-1/00012"),
         (contacts, "r/heard/n-1/2"),
+        (
+            StoreKey::Contacts {
+                node: "n-1".into(),
+                part: 0,
+            },
+            "r/heard/n-1/0",
+        ),
         (StoreKey::Provisioning("r-7-0".into()), "r/rental/r-7-0"),
         (StoreKey::Images(MachineId("m-1".into())), "r/images/m-1"),
         (StoreKey::RebuildCandidate("n-1".into()), "r/rebuild/n-1"),
@@ -121,6 +125,8 @@
         assert_eq!(key.to_string(), text);
         assert_eq!(StoreKey::parse(text), Ok(key));
     }
+    let kinds = [KeyKind::Job, KeyKind::JobEnd, KeyKind::Chunk];
+    assert_eq!(kinds.map(KeyKind::prefix), ["r/job/", "r/end/", "r/run/"]);
 }
 
 // Guards against log lines that change with the types behind them.
--- a/src/store/view.rs
+++ b/src/store/view.rs
@@ -5,6 +5,7 @@
 
 pub use status::{ABORTED, JobStatus};
 
+use super::keys::StoreKey;
 use super::records::{CandidateRecord, LeaderRecord, LossRecord, ProvisioningRecord};
 use crate::scheduler::{
     CachedImage, ChunkRecord, JobEnd, JobId, JobRecord, MachineId, MachineType,
@@ -85,6 +86,16 @@
         self.jobs.len() - self.ended_with_record
     }
 
+    /// Returns the chunks of all jobs with their keys, in order of jobs and chunks.
+    pub fn chunk_keys(&self) -> impl Iterator<Item = (StoreKey, &Versioned<ChunkRecord>)> {
+        self.runs.iter().flat_map(|(id, chunks)| {
+            chunks.iter().map(|(chunk, record)| {
+                let (job, chunk) = (id.clone(), *chunk);
+                (StoreKey::Chunk { job, chunk }, record)
+            })
+        })
+    }
+
     /// Returns the machines on which tasks of a job are placed, in order.
     pub fn machines_of(&self, id: &JobId) -> Vec<MachineId> {
         let chunks = self.runs.get(id).into_iter().flat_map(|c| c.values());
--- a/src/term.rs
+++ b/src/term.rs
@@ -9,7 +9,7 @@
 use crate::http::timeout;
 use crate::kv::Condition;
 use crate::scheduler::{JobId, Scheduler};
-use crate::store::{LEADER, ProvisioningRecord, View, ViewChange};
+use crate::store::{ProvisioningRecord, StoreKey, View, ViewChange};
 use crate::units::Micros;
 use event_listener::Event;
 use std::cell::{Cell, RefCell};
@@ -84,10 +84,7 @@
 
     /// The condition of every write of this term: the leader key is as this leader wrote it.
     pub(crate) fn leader_condition(&self) -> Condition {
-        Condition {
-            key: LEADER.into(),
-            version: self.lease.revision,
-        }
+        StoreKey::Leader.has_version(self.lease.revision)
     }
 
     /// Asks for a scheduling cycle soon.
--- a/tests/pinned_records.rs
+++ b/tests/pinned_records.rs
@@ -14,9 +14,8 @@
     MachineType, Priority, Shape,
 };
 use ravenhead::store::{
-    ArchivedEnd, CandidateRecord, LEADER, LOSS, LeaderRecord, LossRecord, MACHINE_TYPES, PREFIX,
-    ProvisioningRecord, TERM, View, ViewChange, archive_key, candidate_key, chunk_key,
-    contacts_key, end_key, images_key, job_key, provisioning_key,
+    ArchivedEnd, CandidateRecord, LeaderRecord, LossRecord, PREFIX, ProvisioningRecord, StoreKey,
+    View, ViewChange,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -70,6 +69,40 @@
     MachineId(id.into())
 }
 
+fn job_key(job: &JobId) -> String {
+    StoreKey::Job(job.clone()).to_string()
+}
+
+fn end_key(job: &JobId) -> String {
+    StoreKey::JobEnd(job.clone()).to_string()
+}
+
+fn chunk_key(job: &JobId, chunk: u32) -> String {
+    let job = job.clone();
+    StoreKey::Chunk { job, chunk }.to_string()
+}
+
+fn provisioning_key(request_name: &str) -> String {
+    StoreKey::Provisioning(request_name.into()).to_string()
+}
+
+fn images_key(machine: &MachineId) -> String {
+    StoreKey::Images(machine.clone()).to_string()
+}
+
+fn contacts_key(node: &str, part: usize) -> String {
+    let node = node.into();
+    StoreKey::Contacts { node, part }.to_string()
+}
+
+fn candidate_key(node: &str) -> String {
+    StoreKey::RebuildCandidate(node.into()).to_string()
+}
+
+fn archive_key(loss: u64, part: usize) -> String {
+    StoreKey::EndArchive { loss, part }.to_string()
+}
+
 /// A job of one task, with nothing that can be left out.
 fn small() -> JobSpec {
     JobSpec {
@@ -321,8 +354,8 @@
         ..found.clone()
     };
     let written = [
-        ("found", LOSS.into(), found),
-        ("over", LOSS.into(), over.clone()),
+        ("found", StoreKey::Loss.to_string(), found),
+        ("over", StoreKey::Loss.to_string(), over.clone()),
     ];
     assert_records("loss", &written);
     let (view, _) = view(FIXTURE, "loss");
@@ -371,8 +404,14 @@
 
 #[test]
 fn the_leader_and_its_term_keep_their_keys_and_bytes() {
-    assert_records("leader", &[("leader", LEADER.into(), leader())]);
-    assert_records("term", &[("term", TERM.into(), "n-2".to_owned())]);
+    assert_records(
+        "leader",
+        &[("leader", StoreKey::Leader.to_string(), leader())],
+    );
+    assert_records(
+        "term",
+        &[("term", StoreKey::Term.to_string(), "n-2".to_owned())],
+    );
     let (led, _) = view(FIXTURE, "leader");
     let led = led.leader.expect("a leader");
     assert_eq!((led.value, led.version), (leader(), VERSION));
@@ -382,7 +421,10 @@
 #[test]
 fn machine_types_keep_their_key_and_bytes() {
     let types = vec![machine_type()];
-    assert_records("flavors", &[("one", MACHINE_TYPES.into(), types.clone())]);
+    assert_records(
+        "flavors",
+        &[("one", StoreKey::MachineTypes.to_string(), types.clone())],
+    );
     let (view, news) = view(FIXTURE, "flavors");
     assert_eq!(view.machine_types.expect("machine types").value, types);
     assert_eq!(news, [Some(ViewChange::MachineTypes)]);
@@ -392,7 +434,7 @@
 fn conditions_and_changes_of_a_transaction_keep_their_bytes() {
     let text = |value: &dyn Fn() -> serde_json::Result<String>| value().expect("JSON");
     let elected = Change::Put {
-        key: LEADER.into(),
+        key: StoreKey::Leader.to_string(),
         value: json!(leader()),
         lease: Some(17),
     };
@@ -401,7 +443,7 @@
     };
     let absent = Condition::absent(end_key(&job("j-1")));
     let unchanged = Condition {
-        key: LEADER.into(),
+        key: StoreKey::Leader.to_string(),
         version: 4_711,
     };
     let made = [
--- a/tests/pinned_wire.rs
+++ b/tests/pinned_wire.rs
@@ -11,7 +11,7 @@
     serve,
 };
 use ravenhead::cloud::{Cloud, ProvisioningRequest};
-use ravenhead::kv::{Change, Condition, Event, KvClient, Outcome, Urgency};
+use ravenhead::kv::{Change, Condition, Event, KvClient, Lookup, Outcome, Urgency};
 use ravenhead::scheduler::MachineId;
 use ravenhead::units::Micros;
 use serde_json::{Value, json};
@@ -461,8 +461,8 @@
         "txn" => told(state.txn(Urgency::Now, &when, &writes).await, outcome),
         "compare" => told(state.txn(Urgency::Paced, &when, &[]).await, outcome),
         "get" => told(state.get(Urgency::Now, "a/b").await, |got| match got {
-            Ok(item) => format!("{} is {} at {}", item.key, item.value, item.version),
-            Err(revision) => format!("absent at {revision}"),
+            Lookup::Found(item) => format!("{} is {} at {}", item.key, item.value, item.version),
+            Lookup::Absent { revision } => format!("absent at {revision}"),
         }),
         "list" | "list_after" => {
             let from = if which == "list" { "" } else { "c/7" };
