--- a/src/store/follow.rs
+++ b/src/store/follow.rs
@@ -81,7 +81,7 @@
                         self.pause_watch().await;
                     }
                 }
-                Err(KvError::TooOld) => return,
+                Err(KvError::Compacted) => return,
                 Err(e) => {
                     debug!("event=watch_failed error={e:?}");
                     sleep(WATCH_RETRY_PAUSE).await;
