--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -124,6 +124,12 @@
         if let Err(rejection) = admitted {
             return rejection.into_response();
         }
+        self.commit_submission(spec).await
+    }
+
+    /// Writes the record of a job, unless one is there already, and answers its user.
+    async fn commit_submission(&self, spec: JobSpec) -> HttpResponse {
+        let id = spec.id.clone();
         let record = JobRecord {
             spec: Rc::new(spec),
             at: self.clock.unix_time(),
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -134,32 +134,34 @@
             // What the heartbeat brought is written, and what it made room for is placed, before the worker is answered.
             term.await_next_cycle().await;
         }
-        let commands = if outcome.fresh && term.may_send_commands(self.clock.now()) {
+        let commands = if !outcome.fresh {
+            Vec::new()
+        } else if term.may_send_commands(self.clock.now()) {
             let at = heartbeat.position();
             let mut scheduler = term.scheduler.borrow_mut();
             scheduler.commands_for(&heartbeat.machine, at, now)
-        } else if outcome.fresh {
-            self.stop_commands_for_cancelled(heartbeat)
-        } else {
-            Vec::new()
-        };
-        let idle = outcome.fresh
-            && !outcome.changed
-            && commands.is_empty()
-            && heartbeat.token == term.token();
-        let redirect_to = if via.is_empty() && idle && term.scheduler.borrow_mut().takes_redirect()
-        {
-            self.membership.peer_in_zone(&heartbeat.zone)
         } else {
-            None
+            self.stop_commands_for_cancelled(heartbeat)
         };
+        let is_idle = outcome.fresh && !outcome.changed && commands.is_empty();
+        let may_redirect = via.is_empty() && is_idle && heartbeat.token == term.token();
         Some(Answer {
             token: term.token(),
             commands,
-            redirect_to,
+            redirect_to: may_redirect
+                .then(|| self.rebalance(term, heartbeat))
+                .flatten(),
         })
     }
 
+    /// Where a worker that needs nothing is redirected, if this leader holds too many of them.
+    fn rebalance(&self, term: &LeaderTerm, heartbeat: &Heartbeat) -> Option<String> {
+        let takes_redirect = term.scheduler.borrow_mut().takes_redirect();
+        takes_redirect
+            .then(|| self.membership.peer_in_zone(&heartbeat.zone))
+            .flatten()
+    }
+
     /// Stops for what a heartbeat shows of cancelled jobs.
     ///
     /// The only commands that need no lease: a cancelled job stays cancelled whoever leads, and a worker that has seen a higher
--- a/src/controller/tasks.rs
+++ b/src/controller/tasks.rs
@@ -8,7 +8,7 @@
 use crate::peer;
 use crate::units::Micros;
 use async_executor::{LocalExecutor, Task};
-use futures_lite::{FutureExt, future};
+use futures_lite::future;
 use log::{debug, info, warn};
 use std::future::Future;
 use std::io;
@@ -62,60 +62,42 @@
 where
     Rc<Controller>: 'a,
 {
-    let mut tasks = Vec::new();
-    let mut spawn = |name, work| tasks.push(spawn_named(ex, name, work));
-    let c = controller.clone();
-    spawn(
-        "follow",
-        async move { c.shared.store.follow().await }.boxed_local(),
-    );
-    let c = controller.clone();
-    spawn(
-        "barriers",
-        async move { c.shared.store.serve_barriers().await }.boxed_local(),
-    );
-    let c = controller.clone();
-    spawn("lead", async move { c.leader.run().await }.boxed_local());
-    let c = controller.clone();
-    spawn(
-        "contacts",
-        async move { c.contacts.publish().await }.boxed_local(),
-    );
-    let c = controller.clone();
-    spawn(
-        "pulse",
-        async move { watch_process(&c).await }.boxed_local(),
-    );
-    let c = controller.clone();
-    spawn(
-        "clear_up",
-        async move { c.cancellations.terminate_residue().await }.boxed_local(),
-    );
-    if controller.shared.settings.rebuilds() {
-        let c = controller.clone();
-        spawn(
-            "rebuild",
-            async move { c.state_loss.run().await }.boxed_local(),
-        );
+    let c = controller;
+    let mut tasks = vec![
+        spawn(ex, c, "follow", async |c| c.shared.store.follow().await),
+        spawn(ex, c, "barriers", async |c| {
+            c.shared.store.serve_barriers().await;
+        }),
+        spawn(ex, c, "lead", async |c| c.leader.run().await),
+        spawn(ex, c, "contacts", async |c| c.contacts.publish().await),
+        spawn(ex, c, "pulse", async |c| watch_process(&c).await),
+        spawn(ex, c, "clear_up", async |c| {
+            c.cancellations.terminate_residue().await;
+        }),
+    ];
+    if c.shared.settings.rebuilds() {
+        tasks.push(spawn(ex, c, "rebuild", async |c| c.state_loss.run().await));
     }
-    for i in 0..controller.shared.peers.len() {
-        let c = controller.clone();
-        spawn(
-            "ping",
-            async move { c.pinger.run(&c.shared.peers[i]).await }.boxed_local(),
-        );
+    for i in 0..c.shared.peers.len() {
+        let ping = async move |c: Rc<Controller>| c.pinger.run(&c.shared.peers[i]).await;
+        tasks.push(spawn(ex, c, "ping", ping));
     }
     tasks
 }
 
-/// Spawns a task that is not expected to end.
-fn spawn_named<'a>(
+/// Spawns a task that is not expected to end; `name` is what the log calls it.
+fn spawn<'a>(
     ex: &LocalExecutor<'a>,
+    controller: &Rc<Controller>,
     name: &'static str,
-    work: impl Future<Output = ()> + 'a,
-) -> Task<()> {
+    work: impl AsyncFnOnce(Rc<Controller>) + 'a,
+) -> Task<()>
+where
+    Rc<Controller>: 'a,
+{
+    let controller = controller.clone();
     ex.spawn(async move {
-        work.await;
+        work(controller).await;
         warn!("event=background_task_ended duty={name}");
     })
 }
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -13,6 +13,8 @@
 
 /// Tries of one provisioning request.
 const MAX_PROVISIONING_ATTEMPTS: usize = 3;
+/// Pause before a provisioning request is sent again.
+const PROVISIONING_RETRY: Micros = Micros::secs(1);
 /// Tries of noting provisioning requests, which share the writes with everything else.
 const MAX_RECORD_ATTEMPTS: usize = 8;
 /// A provisioning request is remembered at least so long for the next leader.
@@ -31,122 +33,128 @@
 impl Provisioner<'_> {
     /// Asks again for what an earlier leader asked for without noting the answer: the same request provisions only once.
     pub(super) async fn resume(&self) {
-        let open: Vec<ProvisioningRequest> = self
+        let unanswered: Vec<ProvisioningRequest> = self
             .term
             .provisioning
             .borrow()
             .values()
-            .filter(|r| r.machines.is_none())
-            .map(|r| r.rental.clone())
+            .filter(|record| record.machines.is_none())
+            .map(|record| record.rental.clone())
             .collect();
-        for rental in open {
-            self.send(&rental).await;
+        for request in unanswered {
+            self.send(&request).await;
         }
     }
 
     /// Provisions what is wanted: all requests are written down in one transaction before any is sent, so that the next leader
     /// can ask for their answers, and go out side by side.
-    pub(super) async fn provision(&self, requests: &[ScaleOutRequest]) {
-        let forgotten = self.expired_records();
-        let requests: Vec<(ScaleOutRequest, ProvisioningRequest)> = requests
+    pub(super) async fn provision(&self, wanted: &[ScaleOutRequest]) {
+        let expired = self.expired_records();
+        let requests: Vec<(ScaleOutRequest, ProvisioningRequest)> = wanted
             .iter()
             .flat_map(split_request)
             .take(self.max_requests)
-            .map(|request| {
-                let rental = self.name_request(&request);
-                (request, rental)
+            .map(|part| {
+                let request = self.name_request(&part);
+                (part, request)
             })
             .collect();
-        if requests.is_empty() && forgotten.is_empty() {
+        if requests.is_empty() && expired.is_empty() {
             return;
         }
         let at = self.clock.unix_time();
-        let open = requests.iter().map(|(_, rental)| ProvisioningRecord {
-            rental: rental.clone(),
+        let records = requests.iter().map(|(_, request)| ProvisioningRecord {
+            rental: request.clone(),
             machines: None,
             at,
         });
-        if !self.write_records(open.collect(), forgotten).await {
+        if !self.write_records(records.collect(), expired).await {
             return;
         }
-        for (request, _) in &requests {
-            self.term
-                .scheduler
-                .borrow_mut()
-                .on_scale_out_started(request);
+        self.send_all(&requests).await;
+        self.write_answers(&requests).await;
+    }
+
+    /// Sends requests that are written down, side by side.
+    async fn send_all(&self, requests: &[(ScaleOutRequest, ProvisioningRequest)]) {
+        for (part, _) in requests {
+            self.term.scheduler.borrow_mut().on_scale_out_started(part);
         }
-        let sent = requests.iter().map(|(request, rental)| async move {
-            let machines = self.send(rental).await;
+        let sent = requests.iter().map(|(part, request)| async move {
+            let machines = self.send(request).await;
             let now = self.clock.now();
             let mut scheduler = self.term.scheduler.borrow_mut();
-            scheduler.on_scale_out_completed(request, &machines, now);
+            scheduler.on_scale_out_completed(part, &machines, now);
         });
         join_all(sent.collect()).await;
-        let names = requests.iter().map(|(_, rental)| &rental.request_name);
-        let answered = names.filter_map(|n| self.term.provisioning.borrow().get(n).cloned());
-        let answered: Vec<ProvisioningRecord> = answered.collect();
-        if !answered.is_empty() {
-            self.write_records(answered, Vec::new()).await;
+    }
+
+    /// Writes down what came of requests.
+    async fn write_answers(&self, requests: &[(ScaleOutRequest, ProvisioningRequest)]) {
+        let names = requests.iter().map(|(_, request)| &request.request_name);
+        let records = names.filter_map(|name| self.term.provisioning.borrow().get(name).cloned());
+        let records: Vec<ProvisioningRecord> = records.collect();
+        if !records.is_empty() {
+            self.write_records(records, Vec::new()).await;
         }
     }
 
     /// A request under a name that is never used again.
-    fn name_request(&self, request: &ScaleOutRequest) -> ProvisioningRequest {
+    fn name_request(&self, part: &ScaleOutRequest) -> ProvisioningRequest {
         let number = self.term.provisioning_requests_sent.get();
         self.term.provisioning_requests_sent.set(number + 1);
         ProvisioningRequest {
             request_name: format!("r-{}-{number}", self.term.token()),
-            machine_type: request.pool.machine_type.clone(),
-            zone: request.pool.zone.clone(),
-            spot: request.pool.spot,
-            count: request.count,
+            machine_type: part.pool.machine_type.clone(),
+            zone: part.pool.zone.clone(),
+            spot: part.pool.spot,
+            count: part.count,
         }
     }
 
-    /// Sends a provisioning request, again where the answer is lost, and notes what came of it.
-    async fn send(&self, rental: &ProvisioningRequest) -> Vec<MachineId> {
-        let mut machines = Vec::new();
+    /// Sends a request, and hands the machines that came of it to the scheduler.
+    async fn send(&self, request: &ProvisioningRequest) -> Vec<MachineId> {
+        let machines = self.send_until_answered(request).await;
+        let mut provisioning = self.term.provisioning.borrow_mut();
+        if let Some(record) = provisioning.get_mut(&request.request_name) {
+            record.machines = Some(machines.clone());
+            let now = self.clock.now();
+            let mut scheduler = self.term.scheduler.borrow_mut();
+            scheduler.inherit_provisioned(&record.pool(), &machines, Micros::ZERO, now);
+        }
+        machines
+    }
+
+    /// Sends a request, again where the answer is lost; returns the machines, none where none were to be had.
+    async fn send_until_answered(&self, request: &ProvisioningRequest) -> Vec<MachineId> {
         for _ in 0..MAX_PROVISIONING_ATTEMPTS {
-            match self.cloud.provision(rental).await {
-                Ok(rented) => {
+            match self.cloud.provision(request).await {
+                Ok(machines) => {
                     info!(
                         "event=machines_provisioned request={} machine_type={} zone={} spot={} asked={} got={}",
-                        rental.request_name,
-                        rental.machine_type,
-                        rental.zone,
-                        rental.spot,
-                        rental.count,
-                        rented.len()
+                        request.request_name,
+                        request.machine_type,
+                        request.zone,
+                        request.spot,
+                        request.count,
+                        machines.len()
                     );
-                    machines = rented;
-                    break;
+                    return machines;
                 }
                 Err(CloudError::NoCapacity) => {
                     info!(
                         "event=no_capacity machine_type={} zone={} spot={}",
-                        rental.machine_type, rental.zone, rental.spot
+                        request.machine_type, request.zone, request.spot
                     );
                     break;
                 }
                 Err(e) => {
                     info!("event=provisioning_failed error={:?}", e.to_string());
-                    sleep(Micros::secs(1)).await;
+                    sleep(PROVISIONING_RETRY).await;
                 }
             }
         }
-        if let Some(record) = self
-            .term
-            .provisioning
-            .borrow_mut()
-            .get_mut(&rental.request_name)
-        {
-            record.machines = Some(machines.clone());
-            let now = self.clock.now();
-            let pool = record.pool();
-            let mut scheduler = self.term.scheduler.borrow_mut();
-            scheduler.inherit_provisioned(&pool, &machines, Micros::ZERO, now);
-        }
-        machines
+        Vec::new()
     }
 
     /// The names of provisioning requests that no later leader needs: by now their machines are in every list, or gone.
@@ -176,11 +184,11 @@
         let deletes = forgotten_keys.map(|key| key.delete());
         let changes: Vec<Change> = puts.chain(deletes).collect();
         let when = [self.term.leader_condition()];
-        let mut good = false;
+        let mut is_written = false;
         for _ in 0..MAX_RECORD_ATTEMPTS {
             match self.kv.txn(Urgency::Now, &when, &changes).await {
                 Ok(Outcome::Applied(_)) => {
-                    good = true;
+                    is_written = true;
                     break;
                 }
                 Ok(Outcome::Conflict(_)) => break,
@@ -189,7 +197,7 @@
             }
             sleep(RETRY_PAUSE).await;
         }
-        if good {
+        if is_written {
             let mut provisioning = self.term.provisioning.borrow_mut();
             for request_name in &forgotten {
                 provisioning.remove(request_name);
@@ -198,11 +206,11 @@
                 provisioning.insert(record.rental.request_name.clone(), record);
             }
         }
-        good
+        is_written
     }
 }
 
-/// A want in parts that one request may ask for.
+/// What is wanted of a pool in parts that one request may ask for.
 fn split_request(request: &ScaleOutRequest) -> Vec<ScaleOutRequest> {
     let part = |count| ScaleOutRequest {
         pool: request.pool.clone(),
--- a/src/state_loss.rs
+++ b/src/state_loss.rs
@@ -141,47 +141,58 @@
         })
     }
 
-    /// The record of the loss that is to be rebuilt, if there is one, as the next leader writes it with its election.
+    /// Returns the record of the loss that is to be rebuilt, if there is one, as the next leader writes it with its election.
     pub fn loss_to_rebuild(&self) -> Option<LossRecord> {
         if !self.store.is_rebuilding() {
             return None;
         }
         let view = self.store.view.borrow();
         let loss = self.store.loss.borrow();
-        let known = loss.as_ref().and_then(|l| l.snapshot.as_ref());
-        let announced = view.candidates.values().map(|c| c.token).max();
-        let highest = self
-            .membership
-            .cluster_status()
-            .token
-            .max(known.map_or(0, View::highest_token))
-            .max(announced.unwrap_or(0));
-        let found = view.loss.as_ref().map(|l| l.value.clone());
-        let is_first_start = loss.is_none() && found.is_none() && highest == 0;
+        let snapshot = loss.as_ref().and_then(|l| l.snapshot.as_ref());
+        let highest_token = self.highest_known_token(&view, snapshot);
+        let recorded = view.loss.as_ref().map(|l| &l.value);
+        let is_first_start = loss.is_none() && recorded.is_none() && highest_token == 0;
         if is_first_start {
             return None;
         }
-        let resumed = found.clone().filter(|l| !l.restored);
-        let before = found
-            .as_ref()
+        let resumed = recorded.filter(|l| !l.restored);
+        let losses_before = recorded
             .map_or(0, |l| l.number)
-            .max(known.map_or(0, View::losses));
-        let number = resumed.as_ref().map_or(before + 1, |l| l.number);
-        let base = found.as_ref().map_or(0, |l| l.base);
-        // Revisions that went back no longer make tokens above those that workers have seen.
-        let possible = base + view.revision;
-        let base = if highest > possible {
-            token_base(self.clock.unix_time(), highest)
-        } else {
-            base
-        };
-        let at = resumed.map_or(self.clock.unix_time(), |l| l.at);
+            .max(snapshot.map_or(0, View::losses));
+        let unix_time = self.clock.unix_time();
         Some(LossRecord {
-            number,
-            base,
-            at,
+            number: resumed.map_or(losses_before + 1, |l| l.number),
+            base: next_token_base(recorded, &view, highest_token, unix_time),
+            at: resumed.map_or(unix_time, |l| l.at),
             restored: false,
             confirmed: false,
         })
     }
+
+    /// The highest fencing token that any controller knows of.
+    fn highest_known_token(&self, view: &View, snapshot: Option<&View>) -> u64 {
+        let announced = view.candidates.values().map(|c| c.token).max();
+        self.membership
+            .cluster_status()
+            .token
+            .max(snapshot.map_or(0, View::highest_token))
+            .max(announced.unwrap_or(0))
+    }
+}
+
+/// What is added to revisions from now on, so that tokens stay above all that were given before.
+///
+/// Guards against revisions that went back and no longer make tokens above those that workers have seen.
+fn next_token_base(
+    recorded: Option<&LossRecord>,
+    view: &View,
+    highest_token: u64,
+    unix_time: u64,
+) -> u64 {
+    let base = recorded.map_or(0, |l| l.base);
+    if highest_token > base + view.revision {
+        token_base(unix_time, highest_token)
+    } else {
+        base
+    }
 }
