--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -1,6 +1,7 @@
 //! Placements compared with reports, task by task: what each heartbeat proves, and what follows from it.
 
 use super::Scheduler;
+use super::events::SchedulerEvent;
 use super::ids::{MachineId, TaskId};
 use super::job::Placement;
 use super::messages::{ExitCause, Heartbeat, TaskState, TaskStatus, TaskStatusIndex};
@@ -26,15 +27,15 @@
         let Some(m) = self.machines.get(&r.machine) else {
             return false;
         };
-        let held: Vec<TaskId> = m.held.keys().cloned().collect();
+        let reserved: Vec<TaskId> = m.reserved.keys().cloned().collect();
         let context = HeartbeatContext {
             position: r.position(),
             shows_token: r.token == self.token,
             answers_arrive: !m.is_suspect(),
         };
-        self.count_steps(held.len() + r.tasks.len());
+        self.count_steps(reserved.len() + r.tasks.len());
         let mut changed = false;
-        for task in held {
+        for task in reserved {
             let Some(p) = self.placement(&task) else {
                 continue;
             };
@@ -63,7 +64,7 @@
         let recorded = p.as_recorded(is_wanted);
         let verdict = reconcile_recorded(&recorded, found.map(TaskStatus::outcome), context);
         if let Some(t) = found {
-            p.seen = Some(t.state);
+            p.reported_state = Some(t.state);
             if context.shows_token {
                 // The worker has seen this leader's token, so no command of an earlier leader can follow.
                 p.inherited = false;
@@ -76,7 +77,7 @@
         match verdict {
             RecordedVerdict::Agrees => {
                 if found.is_some_and(|t| t.state == TaskState::Running) {
-                    self.note_running(task, machine, now);
+                    self.record_running(task, machine, now);
                 }
                 false
             }
@@ -108,7 +109,7 @@
     }
 
     /// A placed task is reported as running, perhaps for the first time.
-    fn note_running(&mut self, task: &TaskId, machine: &MachineId, now: Micros) {
+    fn record_running(&mut self, task: &TaskId, machine: &MachineId, now: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -121,9 +122,11 @@
         }
         p.running_since = Some(now);
         self.new_images.insert(machine.clone());
-        self.details
-            .push(format!("event=task_running task={task} machine={machine}"));
-        self.note_image(machine, &spec);
+        self.events.push(SchedulerEvent::TaskRunning {
+            task: task.clone(),
+            machine: machine.clone(),
+        });
+        self.record_image(machine, &spec);
     }
 
     /// A placed task ended.
@@ -136,17 +139,21 @@
     ) {
         if cause == Some(ExitCause::Done) {
             self.finish(&task.job, task.index);
-            self.details
-                .push(format!("event=task_finished task={task} machine={machine}"));
+            self.events.push(SchedulerEvent::TaskFinished {
+                task: task.clone(),
+                machine: machine.clone(),
+            });
             if let Some(m) = self.machines.get_mut(machine) {
                 m.failed_jobs.clear();
             }
-            self.note_success(&task.job);
+            self.on_task_success(&task.job);
             return;
         }
-        self.details.push(format!(
-            "event=task_exited task={task} machine={machine} cause={cause:?}"
-        ));
+        self.events.push(SchedulerEvent::TaskExited {
+            task: task.clone(),
+            machine: machine.clone(),
+            cause,
+        });
         self.release(&task.job, task.index);
         self.requeue(&task.job, now);
         match cause {
@@ -155,9 +162,11 @@
                 if let Some(job) = self.jobs.get_mut(&task.job) {
                     job.next_try = now + REFUSED_BACKOFF;
                 }
-                self.notes.push(format!(
-                    "event=task_start_refused task={task} machine={machine} cause={cause:?}"
-                ));
+                self.events.push(SchedulerEvent::TaskStartRefused {
+                    task: task.clone(),
+                    machine: machine.clone(),
+                    cause,
+                });
             }
             _ => {}
         }
@@ -170,17 +179,17 @@
         let mut changed = false;
         for t in &r.tasks {
             let Some(task) = TaskId::parse(&t.task) else {
-                self.notes.push(format!(
-                    "event=invalid_task machine={} task={:?}",
-                    r.machine, t.task
-                ));
+                self.events.push(SchedulerEvent::InvalidTask {
+                    machine: r.machine.clone(),
+                    task: t.task.clone(),
+                });
                 continue;
             };
             let placed = self.placement(&task);
             if placed.is_some_and(|p| p.machine == r.machine && p.attempt == t.attempt) {
                 continue;
             }
-            self.note_attempt(&task, t.attempt);
+            self.raise_last_attempt(&task, t.attempt);
             let unrecorded = self.as_unrecorded(&task, t.attempt);
             let verdict = reconcile_unrecorded(&unrecorded, t.outcome());
             self.count_unrecorded(verdict);
@@ -256,17 +265,17 @@
                 committed: false,
                 inherited: r.token != self.token,
                 sent: Some(r.position()),
-                seen: Some(t.state),
+                reported_state: Some(t.state),
                 running_since: None,
                 stopping: None,
             },
         );
-        self.note_change(&task.job, task.index / CHUNK_SIZE);
-        self.hold(&task.job, task.index, &r.machine, now);
-        self.notes.push(format!(
-            "event=task_adopted task={task} machine={}",
-            r.machine
-        ));
+        self.mark_dirty(&task.job, task.index / CHUNK_SIZE);
+        self.reserve_on_machine(&task.job, task.index, &r.machine, now);
+        self.events.push(SchedulerEvent::TaskAdopted {
+            task: task.clone(),
+            machine: r.machine.clone(),
+        });
     }
 }
 
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -3,6 +3,8 @@
 
 pub mod invariants;
 pub mod loopback;
+pub mod pinned;
 pub mod sim;
+pub mod wire;
 pub mod world;
 pub use ravenhead_stand_ins::keys;
