--- a/src/http.rs
+++ b/src/http.rs
@@ -6,7 +6,7 @@
 mod server;
 
 pub use crate::futures::{join_all, timeout};
-pub use client::{Client, HttpError};
+pub use client::{Client, HttpError, TransportError};
 pub use message::{HttpRequest, HttpResponse};
 pub use server::{MAX_BODY, serve};
 
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -14,15 +14,18 @@
 /// Idle connections that a client keeps; more are closed after their response.
 const MAX_IDLE: usize = 8;
 
+/// What broke a connection: an I/O error, a message that is not HTTP, or a text where there is no error beneath.
+pub type TransportError = Box<dyn std::error::Error + Send + Sync>;
+
 /// Why a request got no usable response.
 #[derive(Debug, Error)]
 pub enum HttpError {
     /// No connection came about, so the request was certainly not received.
     #[error("not sent: {0}")]
-    NotSent(String),
+    NotSent(#[source] TransportError),
     /// The request may have been carried out, or may still be.
     #[error("no answer: {0}")]
-    NoAnswer(String),
+    NoAnswer(#[source] TransportError),
 }
 
 impl HttpError {
@@ -70,7 +73,7 @@
                 Some(stream) => stream,
                 None => Stream::connect(self.addr)
                     .await
-                    .map_err(|e| HttpError::NotSent(e.to_string()))?,
+                    .map_err(|e| HttpError::NotSent(e.into()))?,
             };
             is_connected.set(true);
             self.exchange(stream, method, path, body).await
@@ -89,9 +92,9 @@
         path: &str,
         body: Option<Vec<u8>>,
     ) -> Result<(u16, Vec<u8>), HttpError> {
-        let no_answer = |e: http_types::Error| HttpError::NoAnswer(e.to_string());
+        let no_answer = |e: http_types::Error| HttpError::NoAnswer(e.into());
         let url = Url::parse(&format!("http://{}{}", self.addr, path))
-            .map_err(|e| HttpError::NotSent(e.to_string()))?;
+            .map_err(|e| HttpError::NotSent(e.into()))?;
         let mut request = Request::new(method, url);
         if let Some(body) = body {
             request.set_body(body);
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -2,9 +2,11 @@
 use crate::http::{Client, HttpError, HttpRequest, HttpResponse, join_all, serve, timeout};
 use crate::net::Listener;
 use crate::units::Micros;
-use futures_lite::future;
+use futures_lite::{AsyncReadExt, future};
 use http_types::Method;
 use std::cell::Cell;
+use std::error::Error;
+use std::io;
 use std::time::Duration;
 
 // Guards against responses from before a pause: another controller may have sent something newer meanwhile.
@@ -61,7 +63,35 @@
         let result = client.call(Method::Get, "/ready", None, Micros::secs(30));
         let error = result.await.expect_err("nobody listens");
         assert!(matches!(error, HttpError::NotSent(_)), "{error:?}");
-        assert_eq!(error.to_string(), format!("not sent: {}", error.reason()));
+        assert_eq!(
+            error.to_string(),
+            "not sent: Connection refused (os error 111)"
+        );
+        let source = error.source().expect("the connection's error");
+        let source = source.downcast_ref::<io::Error>().expect("an I/O error");
+        assert_eq!(source.kind(), io::ErrorKind::ConnectionRefused);
+        assert_eq!(error.reason().to_string(), source.to_string());
+    });
+}
+
+#[test]
+fn connection_that_ends_without_a_response_is_an_error_of_a_request_perhaps_received() {
+    async_io::block_on(async {
+        let listener = Listener::bind("127.0.0.1:0".parse().unwrap())
+            .await
+            .unwrap();
+        let client = Client::new(listener.local_addr().unwrap());
+        let server = async {
+            let mut stream = listener.accept().await.unwrap();
+            // Read, as a connection that closes on unread bytes is reset.
+            let len = stream.read(&mut [0; 1024]).await.unwrap();
+            assert!(len > 0);
+        };
+        let call = client.call(Method::Get, "/ready", None, Micros::secs(30));
+        let ((), result) = future::zip(server, call).await;
+        let error = result.expect_err("no response");
+        assert!(matches!(error, HttpError::NoAnswer(_)), "{error:?}");
+        assert_eq!(error.to_string(), "no answer: connection closed");
     });
 }
 
