--- a/src/http.rs
+++ b/src/http.rs
@@ -5,7 +5,7 @@
 mod message;
 mod server;
 
-pub use client::{Client, HttpError};
+pub use client::{Client, HttpError, TransportError};
 pub use message::{HttpRequest, HttpResponse};
 pub use server::{MAX_BODY, serve};
 
