--- a/src/scheduler/scenarios/commands.rs
+++ b/src/scheduler/scenarios/commands.rs
@@ -1,6 +1,11 @@
 //! Placing, starting, finishing and stopping.
 
-use super::*;
+use super::{Scenario, TOKEN, aborted, live, runs, spec};
+use crate::scheduler::machine::MAX_TASKS_PER_MACHINE;
+use crate::scheduler::{
+    AgentCommand, ExitCause, JobId, JobSpec, MAX_TASKS, MachineId, Shape, TaskState, Write,
+};
+use crate::units::Micros;
 
 #[test]
 fn a_job_is_placed_on_low_ids_run_and_done() {
@@ -28,7 +33,7 @@
 }
 
 #[test]
-fn a_start_is_told_only_after_its_placement_is_written() {
+fn a_task_is_started_only_after_its_placement_is_written() {
     let mut t = Scenario::new(0.0);
     t.worker("m-1", "a", false);
     t.submit(spec("j-1", 1));
@@ -47,7 +52,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_repeated_with_the_same_attempt_and_a_doubled_report_gets_nothing() {
+fn a_lost_answer_is_repeated_with_the_same_attempt_and_a_duplicate_heartbeat_gets_nothing() {
     let mut t = Scenario::new(0.0);
     t.worker("m-1", "a", false);
     t.submit(spec("j-1", 1));
@@ -121,7 +126,7 @@
 }
 
 #[test]
-fn a_machine_that_cannot_be_told_of_a_cancellation_goes_back_in_time() {
+fn a_machine_that_does_not_hear_of_a_cancellation_is_terminated_in_time() {
     let mut t = Scenario::new(0.0);
     t.worker("m-1", "a", false);
     let job = t.submit(spec("j-1", 1));
@@ -298,7 +303,7 @@
 
 // Guards against tasks that wait for the end of a cut on machines beyond it, while machines on this side have room.
 #[test]
-fn what_was_not_sent_to_a_machine_out_of_touch_goes_elsewhere() {
+fn unsent_placements_of_an_unreachable_machine_go_elsewhere() {
     let mut t = Scenario::new(0.0);
     t.s.config.idle = Some(Micros::secs(10_000));
     t.worker("m-1", "b", false);
@@ -357,7 +362,7 @@
 
 // Guards against a machine whose heartbeat is longer than a body may be.
 #[test]
-fn a_machine_holds_no_more_tasks_than_a_report_can_name() {
+fn a_machine_holds_no_more_tasks_than_a_heartbeat_can_name() {
     let mut t = Scenario::new(0.0);
     t.worker("m-1", "a", true);
     let tiny = JobSpec {
--- a/src/scheduler/scenarios/failure_detection.rs
+++ b/src/scheduler/scenarios/failure_detection.rs
@@ -1,9 +1,12 @@
 //! Who is dead, and who only out of reach.
 
-use super::*;
+use super::{Scenario, TOKEN, Worker, aborted, config, controller, runs, spec};
+use crate::cloud::{Listed, ListedStatus};
+use crate::scheduler::{AgentCommand, ControllerStatus, ExitCause, JobId, MachineId};
+use crate::units::Micros;
 
 #[test]
-fn a_silent_machine_keeps_its_tasks_until_the_cloud_says_that_it_is_gone() {
+fn tasks_of_a_timed_out_machine_run_elsewhere_only_after_its_termination_is_confirmed() {
     let mut t = Scenario::new(0.0);
     t.worker("m-1", "a", false);
     t.worker("m-2", "a", false);
@@ -31,7 +34,7 @@
 }
 
 #[test]
-fn a_zone_that_falls_silent_together_is_not_given_up() {
+fn a_zone_that_times_out_together_is_taken_for_a_partition() {
     let mut t = Scenario::new(0.0);
     for i in 0..8 {
         t.worker(&format!("m-a{i}"), "a", false);
@@ -59,7 +62,7 @@
 }
 
 #[test]
-fn a_wave_of_taken_spot_machines_is_not_taken_for_a_cut() {
+fn a_wave_of_preempted_spot_machines_is_not_taken_for_a_partition() {
     let mut t = Scenario::new(0.0);
     for i in 0..8 {
         t.worker(&format!("m-a{i}"), "a", i >= 2);
@@ -71,7 +74,7 @@
 }
 
 #[test]
-fn what_the_list_lacks_is_lost_only_when_it_cannot_be_the_lists_age() {
+fn a_machine_missing_from_the_list_is_lost_only_when_the_list_cannot_be_too_old() {
     let mut t = Scenario::new(0.0);
     let listed = |name: &str, age_s: f64| Listed {
         machine: MachineId(name.into()),
@@ -91,7 +94,7 @@
 
 // Guards against giving up live machines in a cut: a worker may try two controllers in vain, five seconds each.
 #[test]
-fn a_machine_is_given_more_time_while_controllers_do_not_answer() {
+fn the_grace_period_is_longer_while_controllers_are_unreachable() {
     let quiet_until_given_up = |silent: &[(&str, &str)]| {
         let mut controllers = vec![controller("n-0", "a", true), controller("n-1", "a", true)];
         controllers.push(controller("n-2", "b", true));
@@ -124,7 +127,7 @@
 
 // Guards against giving up a cut zone a few machines at a time, as they fall silent one after the other.
 #[test]
-fn a_zone_that_falls_silent_bit_by_bit_is_not_eaten_up() {
+fn a_partitioned_zone_is_not_terminated_piece_by_piece() {
     let mut t = Scenario::new(0.0);
     for i in 0..12 {
         t.worker(&format!("m-a{i:02}"), "a", false);
@@ -157,7 +160,7 @@
 // Guards against a machine whose reports arrive while answers do not reach it: silence never shows, and id order would
 // send the same task there for ever.
 #[test]
-fn a_machine_that_hears_no_answer_takes_no_more_and_goes_back() {
+fn a_machine_that_acknowledges_no_answer_gets_no_offers_and_is_terminated() {
     let mut t = Scenario::new(0.0);
     t.s.config.idle = Some(Micros::secs(10_000));
     for i in 1..9 {
@@ -211,7 +214,7 @@
 
 // Guards against emptying a zone behind a cut through which only one direction passes.
 #[test]
-fn many_machines_that_hear_no_answer_are_taken_for_a_cut() {
+fn many_machines_that_acknowledge_no_answer_are_taken_for_a_partition() {
     let mut t = Scenario::new(0.0);
     t.s.config.idle = Some(Micros::secs(10_000));
     for i in 0..8 {
@@ -240,7 +243,7 @@
 
 // Guards against late copies of heartbeats: of a machine returned, of an earlier state, of an earlier agent epoch.
 #[test]
-fn late_copies_of_reports_prove_nothing_bring_nothing_back_and_count_nothing_twice() {
+fn stale_copies_of_heartbeats_prove_nothing_revive_nothing_and_count_nothing_twice() {
     let mut t = Scenario::new(0.0);
     t.worker("m-1", "a", false);
     t.worker("m-2", "a", false);
@@ -297,7 +300,7 @@
 // Guards against giving up the workers of a controller that lost the state service and the other controllers, but keeps
 // its workers alive; and against keeping for ever what died behind it.
 #[test]
-fn the_workers_of_a_controller_that_lost_everything_else_are_not_given_up() {
+fn suspicion_is_suppressed_for_workers_of_an_isolated_controller() {
     let mut t = Scenario::new(0.0);
     t.s.config.idle = Some(Micros::secs(10_000));
     for i in 0..10 {
@@ -347,7 +350,7 @@
 // Guards against what gave up 186 live machines on a quiet day: reports through one controller were held up for a few
 // seconds, and its workers, fewer than a quarter of all, were taken to have died.
 #[test]
-fn many_late_workers_of_one_controller_are_given_the_time_to_find_another() {
+fn many_late_workers_of_one_controller_get_the_grace_period_of_a_reconnect() {
     let mut t = Scenario::new(0.0);
     t.s.config.idle = Some(Micros::secs(10_000));
     for i in 0..40 {
@@ -373,7 +376,7 @@
 // Guards against what gave up 235 live machines: the leader held most workers of a large fleet, lost the way to all of
 // them, and every one of them late by a few seconds was taken to have died while the others were not late yet.
 #[test]
-fn a_way_that_stops_as_a_whole_is_no_death_of_its_machines() {
+fn a_stopped_path_is_no_failure_of_its_machines() {
     let mut t = Scenario::new(0.0);
     t.s.config.idle = Some(Micros::secs(10_000));
     let via = |i: usize| if i.is_multiple_of(10) { "n-1" } else { "" };
@@ -402,7 +405,7 @@
 
 // Guards against giving up the first quarter of a cut zone that has no controller, which is late a little before the rest.
 #[test]
-fn a_zone_that_goes_dark_is_not_given_up_before_its_leases_are_over() {
+fn an_unreachable_zone_is_not_terminated_before_its_leases_end() {
     let mut t = Scenario::new(0.0);
     t.s.config.idle = Some(Micros::secs(10_000));
     t.s.config.report = Micros::secs(6);
@@ -429,7 +432,7 @@
 // Guards against a leader that was paused for longer than a lease and still leads, as after an outage: what it did not
 // hear meanwhile is no silence.
 #[test]
-fn a_leader_that_stood_still_gives_nobody_up_for_it() {
+fn a_process_pause_of_the_leader_is_no_silence_of_its_machines() {
     let mut t = Scenario::new(0.0);
     t.s.config.idle = Some(Micros::secs(10_000));
     for i in 0..20 {
@@ -465,7 +468,7 @@
 
 // Guards against a leader that keeps every worker after a filter between controllers.
 #[test]
-fn a_leader_with_too_many_workers_of_its_own_sheds_them_bit_by_bit_once_all_is_well() {
+fn a_leader_with_too_many_workers_redirects_them_gradually_once_controllers_are_stable() {
     let mut t = Scenario::new(0.0);
     t.s.config.idle = Some(Micros::secs(10_000));
     t.via = "";
@@ -496,7 +499,7 @@
 
 // Guards against giving up the workers beyond a cut of two other zones, of which this controller reaches every one.
 #[test]
-fn a_cut_that_only_others_see_ends_the_calm() {
+fn a_partition_that_only_others_see_resets_stability() {
     let mut t = Scenario::new(0.0);
     t.s.config.idle = Some(Micros::secs(10_000));
     for i in 0..20 {
@@ -524,7 +527,7 @@
 
 // Guards against live machines given up by a new leader, which does not know yet that their controller is cut off.
 #[test]
-fn what_a_new_leader_never_heard_may_be_with_a_controller_that_is_silent() {
+fn a_new_leader_waits_for_machines_that_an_unreachable_controller_may_hear() {
     let mut t = Scenario::new(0.0);
     for i in 0..10 {
         t.worker(&format!("m-{i}"), "a", false);
--- a/src/scheduler/scenarios/faults.rs
+++ b/src/scheduler/scenarios/faults.rs
@@ -1,9 +1,10 @@
 //! Faulty machines and broken jobs.
 
-use super::*;
+use super::{Scenario, spec};
+use crate::scheduler::{ExitCause, JobId, JobSpec, MachineId, MachineState, Shape, TaskState};
 
 #[test]
-fn a_machine_failing_everything_is_left_out_and_given_back() {
+fn a_machine_failing_everything_is_quarantined_and_terminated() {
     let mut t = Scenario::new(0.0);
     t.worker("m-1", "a", false);
     t.worker("m-2", "a", false);
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn a_job_failing_everywhere_backs_off_and_no_machine_is_blamed() {
+fn a_crash_looping_job_backs_off_and_no_machine_is_quarantined() {
     let mut t = Scenario::new(0.0);
     for i in 1..=4 {
         t.worker(&format!("m-{i}"), "a", false);
@@ -153,7 +154,7 @@
 
 // Guards against a good job that met only faulty machines first being taken for broken for good, and them for good.
 #[test]
-fn a_job_that_succeeds_elsewhere_speaks_against_the_machines_where_it_failed() {
+fn a_job_that_succeeds_elsewhere_attributes_its_failures_to_the_machines() {
     let mut t = Scenario::new(0.0);
     for i in 1..=8 {
         t.worker(&format!("m-{i}"), "a", false);
--- a/src/scheduler/scenarios/fleet.rs
+++ b/src/scheduler/scenarios/fleet.rs
@@ -1,9 +1,12 @@
 //! Renting, booting, consolidation and giving back.
 
-use super::*;
+use super::{Scenario, aborted, live, spec};
+use crate::scheduler::{JobId, JobSpec, MachineId, Pool, ScaleOutRequest, TaskState};
+use crate::units::Micros;
+use std::collections::BTreeSet;
 
 #[test]
-fn unplaced_tasks_rent_cheap_machines_once_and_another_zone_when_there_is_none() {
+fn unplaced_tasks_provision_cheap_machines_once_and_another_zone_without_capacity() {
     let mut t = Scenario::new(0.0);
     t.submit(spec("j-1", 4));
     t.round();
@@ -28,7 +31,7 @@
 }
 
 #[test]
-fn machines_that_never_boot_are_given_back_and_an_unexpected_one_is_used() {
+fn machines_that_never_boot_are_terminated_and_an_unexpected_one_is_used() {
     let mut t = Scenario::new(0.0);
     let pool = Pool {
         machine_type: "rig".into(),
@@ -87,7 +90,7 @@
 // Guards against giving up every new machine of a time in which all come up late, and renting them again for ever; and
 // against waiting as long for a few that never come up.
 #[test]
-fn machines_that_are_all_late_are_waited_for_and_a_few_stuck_ones_are_not() {
+fn the_provisioning_timeout_grows_where_all_machines_are_late_and_not_for_a_few() {
     // The usual time is 40 s. Of twenty machines two never come up.
     let mut few = vec![Some(38); 18];
     few.extend([None, None]);
@@ -107,7 +110,7 @@
 }
 
 #[test]
-fn a_scattered_service_is_moved_and_its_machine_goes_back() {
+fn a_scattered_service_is_consolidated_and_its_machine_terminated() {
     let mut t = Scenario::new(0.0);
     t.s.config.reserve = Some(0);
     t.s.set_controllers(&[], t.now);
@@ -163,7 +166,7 @@
 
 // Guards against renting for a wait that a machine's boot would only make longer.
 #[test]
-fn nothing_is_rented_for_tasks_that_running_ones_soon_make_room_for_unless_there_is_a_deadline() {
+fn nothing_is_provisioned_for_tasks_that_soon_fit_unless_there_is_a_deadline() {
     let mut t = Scenario::new(0.0);
     t.worker("m-1", "a", false);
     t.submit(JobSpec {
@@ -255,7 +258,7 @@
 
 // Guards against a large start that waits for the slowest of just as many boots as it needs.
 #[test]
-fn a_ramp_rents_more_machines_than_wait_and_a_small_job_does_not() {
+fn a_ramp_provisions_more_machines_than_wait_and_a_small_job_does_not() {
     let rented = |tasks: u32| {
         let mut t = Scenario::new(0.0);
         t.s.config.reserve = Some(0);
@@ -275,7 +278,7 @@
 // Guards against what provisioned 255 machines in a zone that was cut off: all there had been given up, so that it had the
 // fewest of all zones.
 #[test]
-fn nothing_is_rented_in_a_zone_of_which_nothing_is_heard_while_there_are_others() {
+fn an_unreachable_zone_is_provisioned_last() {
     let mut t = Scenario::new(0.0);
     t.s.config.idle = Some(Micros::secs(10_000));
     for i in 0..8 {
--- a/src/scheduler/scenarios/latency_sensitive.rs
+++ b/src/scheduler/scenarios/latency_sensitive.rs
@@ -1,6 +1,10 @@
 //! Many short tasks of several teams, and few writes.
 
-use super::*;
+use super::{Scenario, TOKEN, runs, spec};
+use crate::scheduler::{
+    AgentCommand, ExitCause, JobSpec, MachineId, Priority, TaskState, TeamQuota, Write,
+};
+use crate::units::Micros;
 
 /// A job whose aims leave no time for a boot.
 fn latency_sensitive(id: &str, tasks: u32) -> JobSpec {
--- a/src/scheduler/scenarios/mod.rs
+++ b/src/scheduler/scenarios/mod.rs
@@ -9,9 +9,14 @@
 mod recovery;
 mod scale;
 
-use super::machine::MAX_TASKS_PER_MACHINE;
-use super::*;
-use crate::cloud::{Listed, ListedStatus};
+use super::{
+    AgentCommand, CachedImage, ChunkRecord, ControllerStatus, EventLevel, ExitCause, Heartbeat,
+    JobEnd, JobId, JobOutcome, JobRecord, JobSpec, MachineId, MachineType, Priority, Scheduler,
+    SchedulerConfig, Shape, TaskState, TaskStatus, TeamQuota, Write,
+};
+use crate::units::Micros;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
 
 const TOKEN: u64 = 7;
 
--- a/src/scheduler/scenarios/queue_order.rs
+++ b/src/scheduler/scenarios/queue_order.rs
@@ -1,9 +1,13 @@
 //! Whose turn it is, preemption, and scheduling cycles that stay bounded.
 
-use super::*;
+use super::{Scenario, TOKEN, live, spec};
+use crate::scheduler::{
+    AgentCommand, ExitCause, Job, JobId, JobSpec, MachineId, Priority, Shape, TaskState, TeamQuota,
+};
+use crate::units::Micros;
 
 #[test]
-fn a_critical_task_takes_the_place_of_a_low_one_and_keeps_it() {
+fn a_critical_task_preempts_a_low_one_and_keeps_its_place() {
     let mut t = Scenario::new(0.0);
     t.worker("m-1", "a", false);
     t.submit(spec("j-1", 3));
@@ -24,7 +28,7 @@
 }
 
 #[test]
-fn low_work_never_stops_critical_work() {
+fn low_work_never_preempts_critical_work() {
     let mut t = Scenario::new(0.0);
     t.worker("m-1", "a", false);
     t.submit(JobSpec {
@@ -43,7 +47,7 @@
 }
 
 #[test]
-fn an_overload_is_offered_to_samples_and_the_round_stays_bounded() {
+fn an_overload_is_offered_to_samples_and_the_cycle_stays_bounded() {
     let mut t = Scenario::new(0.0);
     for i in 0..200 {
         t.worker(&format!("m-{i:06}"), "a", false);
@@ -173,7 +177,7 @@
 
 // Guards against scheduling cycles whose work follows the size of the fleet and of the queue, not what changed and what has room.
 #[test]
-fn a_round_of_a_large_fleet_is_bounded_and_costs_nothing_where_nothing_has_room() {
+fn a_cycle_of_a_large_fleet_is_bounded_and_costs_nothing_where_nothing_fits() {
     let mut t = Scenario::new(0.0);
     for i in 0..2_000 {
         t.worker(&format!("m-{i:06}"), ["a", "b"][i % 2], false);
--- a/src/scheduler/scenarios/recovery.rs
+++ b/src/scheduler/scenarios/recovery.rs
@@ -1,6 +1,9 @@
 //! New leaders and restarts.
 
-use super::*;
+use super::{Scenario, TOKEN, aborted, runs, spec};
+use crate::cloud::{Listed, ListedStatus};
+use crate::scheduler::{ExitCause, FleetPlan, JobId, JobSpec, MachineId, Pool, TaskState};
+use crate::units::Micros;
 
 #[test]
 fn a_new_leader_does_not_take_absence_for_proof_until_its_token_was_seen() {
@@ -104,7 +107,7 @@
 // Guards against a machine that is back under a new agent epoch before the old one was missed: what it lost starts again,
 // what was on its way to the old agent epoch is not taken for started, and one such return is no deafness.
 #[test]
-fn a_machine_back_at_once_under_a_new_session_starts_its_tasks_again() {
+fn a_machine_back_at_once_under_a_new_agent_epoch_starts_its_tasks_again() {
     let mut t = Scenario::new(0.0);
     t.worker("m-1", "a", false);
     t.submit(spec("j-1", 2));
@@ -130,7 +133,7 @@
 
 // Guards against a new leader that rents anew what runs already, and against one that waits though it heard all.
 #[test]
-fn a_new_leader_rents_once_it_has_heard_what_is_up() {
+fn a_new_leader_provisions_once_it_has_heard_what_is_up() {
     let mut t = Scenario::new(0.0);
     t.take_over(TOKEN + 1);
     let up = Listed {
@@ -190,7 +193,7 @@
 // Guards against a new leader that takes what the one before gave back for boots that are late, as on the incident inc-f66a:
 // it then waits for other late machines of these zones, and rents elsewhere first.
 #[test]
-fn what_an_earlier_leader_rented_and_the_list_lacks_is_no_late_boot() {
+fn what_an_earlier_leader_provisioned_and_the_list_lacks_is_no_late_boot() {
     let mut t = Scenario::new(0.0);
     let pool = Pool {
         machine_type: "rig".into(),
@@ -253,7 +256,7 @@
 
 // Guards against a recovery of which nobody can tell how far it is: what no worker has confirmed is counted until it is.
 #[test]
-fn a_new_leader_tells_what_it_has_confirmed_and_what_not_yet() {
+fn a_new_leader_logs_what_it_has_confirmed_and_what_not_yet() {
     let mut t = Scenario::new(0.0);
     for name in ["m-1", "m-2", "m-3"] {
         t.worker(name, "a", false);
--- a/src/scheduler/scenarios/scale.rs
+++ b/src/scheduler/scenarios/scale.rs
@@ -1,7 +1,9 @@
 //! How the work grows with the fleet: each scenario runs with few and with eight times as many machines and jobs, and counts
 //! the steps of loops over machines, jobs and tasks.
 
-use super::*;
+use super::{Scenario, live, spec};
+use crate::scheduler::{ExitCause, JobId, JobSpec, MachineId, Pool};
+use crate::units::Micros;
 
 const SMALL_FLEET: usize = 500;
 const LARGE_FLEET: usize = 4_000;
@@ -67,7 +69,7 @@
 }
 
 #[test]
-fn a_round_that_fills_an_empty_fleet_takes_work_in_proportion() {
+fn a_cycle_that_fills_an_empty_fleet_takes_work_in_proportion() {
     assert_growth(LINEAR, |machines| {
         let mut t = empty_fleet(machines);
         t.s.config.max_offers_per_cycle = 10_000_000;
@@ -80,7 +82,7 @@
 }
 
 #[test]
-fn a_round_of_a_full_fleet_with_a_backlog_takes_work_in_proportion() {
+fn a_cycle_of_a_full_fleet_with_a_backlog_takes_work_in_proportion() {
     assert_growth(LINEAR, |machines| {
         let mut t = full_fleet(machines);
         t.wait(30);
@@ -89,13 +91,13 @@
 }
 
 #[test]
-fn a_round_in_which_nothing_is_due_takes_no_work() {
+fn a_cycle_in_which_nothing_is_due_takes_no_work() {
     let mut t = full_fleet(LARGE_FLEET);
     assert!(steps(&mut t, |t| t.s.run_cycle(t.now)) < 10.0);
 }
 
 #[test]
-fn a_report_takes_the_same_work_in_a_fleet_of_any_size() {
+fn a_heartbeat_takes_the_same_work_in_a_fleet_of_any_size() {
     assert_growth(1.5, |machines| {
         let mut t = full_fleet(machines);
         let report = t
@@ -143,7 +145,7 @@
 // Guards against a plan that looks at no more than ten thousand tasks: of a job of small tasks four hundred machines were
 // provisioned, and no more before these were up.
 #[test]
-fn a_fleet_for_tens_of_thousands_of_small_tasks_is_rented_without_waiting_for_the_first_boots() {
+fn a_fleet_for_tens_of_thousands_of_small_tasks_is_provisioned_before_the_first_boots() {
     let mut t = Scenario::new(0.0);
     t.s.config.max_scale_out_per_cycle = 500;
     t.submit(JobSpec {
@@ -171,7 +173,7 @@
 
 // Guards against a bound of 512 tasks a job and round that keeps short tasks from ever filling a large fleet.
 #[test]
-fn one_job_may_place_a_task_for_each_machine_in_a_round() {
+fn one_job_may_place_a_task_for_each_machine_in_a_cycle() {
     let mut t = empty_fleet(LARGE_FLEET);
     t.submit(spec("j-1", 3 * LARGE_FLEET as u32));
     t.round();
@@ -203,7 +205,7 @@
 
 // Guards against chunks whose finishes wait being looked at again for each batch.
 #[test]
-fn finishes_that_wait_are_not_looked_at_again_and_again() {
+fn deferred_finishes_are_not_examined_for_each_batch() {
     let mut t = empty_fleet(SMALL_FLEET);
     t.submit(spec("j-1", 2 * SMALL_FLEET as u32));
     t.round();
