--- a/src/scheduler/commands.rs
+++ b/src/scheduler/commands.rs
@@ -3,7 +3,7 @@
 use super::Scheduler;
 use super::ids::{MachineId, TaskId};
 use super::job::StopReason;
-use super::machine::ExpectedEffect;
+use super::machine::{ExpectedEffect, Machine};
 use super::messages::{AgentCommand, TaskState};
 use crate::units::Micros;
 use ravenhead_recovery::HeartbeatPosition;
@@ -11,6 +11,56 @@
 /// Maximum of commands in one answer, so that its line stays below the protocol's limit.
 const MAX_COMMANDS: usize = 400;
 
+/// The commands of an answer in the making, and what the next heartbeat should show of them.
+#[derive(Default)]
+struct Answer {
+    commands: Vec<AgentCommand>,
+    /// Go after the others, and are left out of no answer.
+    starts: Vec<AgentCommand>,
+    expected_effects: Vec<(TaskId, u64, ExpectedEffect)>,
+}
+
+impl Answer {
+    fn is_full(&self) -> bool {
+        self.starts.len() + self.commands.len() >= MAX_COMMANDS
+    }
+
+    fn clear(&mut self, task: &TaskId, attempt: u64) {
+        self.expect(task, attempt, ExpectedEffect::Clear);
+        self.commands.push(AgentCommand::Clear {
+            task: task.to_string(),
+            attempt,
+        });
+    }
+
+    fn stop(&mut self, task: &TaskId, attempt: u64, slack_s: f64) {
+        self.expect(task, attempt, ExpectedEffect::Stop);
+        self.commands.push(AgentCommand::Stop {
+            task: task.to_string(),
+            attempt,
+            slack_s,
+        });
+    }
+
+    fn start(&mut self, task: &TaskId, attempt: u64) {
+        self.expect(task, attempt, ExpectedEffect::Run);
+        self.starts.push(AgentCommand::Run {
+            task: task.to_string(),
+            attempt,
+        });
+    }
+
+    fn expect(&mut self, task: &TaskId, attempt: u64, effect: ExpectedEffect) {
+        self.expected_effects.push((task.clone(), attempt, effect));
+    }
+
+    fn into_commands(mut self) -> Vec<AgentCommand> {
+        self.commands.truncate(MAX_COMMANDS - self.starts.len());
+        self.commands.extend(self.starts);
+        self.commands
+    }
+}
+
 impl Scheduler {
     /// The commands that go into the answer to a heartbeat; none if it is not the newest of its machine any more.
     pub fn commands_for(
@@ -30,79 +80,82 @@
             return Vec::new();
         }
         let takes_starts = m.takes_offers();
-        let mut asked: Vec<(TaskId, u64, ExpectedEffect)> = Vec::new();
-        let mut commands = Vec::new();
+        let placed: Vec<TaskId> = m.reserved.keys().cloned().collect();
+        let mut answer = Answer::default();
+        self.clear_exited(m, &mut answer);
+        self.stop_unexpected(m, &mut answer);
+        let mut unsent = Vec::new();
+        for task in placed {
+            if self.command_placed(&task, report, takes_starts, &mut answer) {
+                unsent.push(task);
+            }
+        }
+        for task in unsent {
+            self.release(&task.job, task.index);
+        }
+        if let Some(m) = self.machines.get_mut(machine) {
+            m.expected_effects = std::mem::take(&mut answer.expected_effects);
+        }
+        answer.into_commands()
+    }
+
+    /// Clears the exited tasks of a machine whose worker may forget them.
+    fn clear_exited(&self, m: &Machine, answer: &mut Answer) {
         for (task, attempt) in &m.exited {
             // A finish must be written before its worker forgets it.
             let written = self.jobs.get(&task.job).is_none_or(|j| {
                 j.end.is_some() || !j.is_finished(task.index) || j.is_finish_committed(task.index)
             });
             if written {
-                asked.push((task.clone(), *attempt, ExpectedEffect::Clear));
-                commands.push(AgentCommand::Clear {
-                    task: task.to_string(),
-                    attempt: *attempt,
-                });
+                answer.clear(task, *attempt);
             }
         }
+    }
+
+    /// Stops what runs on a machine without a placement.
+    fn stop_unexpected(&self, m: &Machine, answer: &mut Answer) {
         // After a loss it may be that only the record of its job is missing yet.
         let may_be_known = self.is_rebuilding();
         for (task, attempt) in m.unexpected_tasks.keys() {
             if may_be_known && !self.jobs.contains_key(&task.job) {
                 continue;
             }
-            asked.push((task.clone(), *attempt, ExpectedEffect::Stop));
-            commands.push(AgentCommand::Stop {
-                task: task.to_string(),
-                attempt: *attempt,
-                slack_s: 0.0,
-            });
-        }
-        let reserved: Vec<TaskId> = m.reserved.keys().cloned().collect();
-        let mut starts = Vec::new();
-        let mut unsent = Vec::new();
-        for task in reserved {
-            let Some(job) = self.jobs.get_mut(&task.job) else {
-                continue;
-            };
-            let cancelled = job.ending;
-            let slack = job.spec.save_slack();
-            let Some(p) = job.placement_mut(task.index) else {
-                continue;
-            };
-            let never_sent = !p.inherited && p.sent.is_none();
-            if cancelled || p.stopping.is_some() {
-                if never_sent {
-                    unsent.push(task);
-                } else if cancelled || p.reported_state != Some(TaskState::Saving) {
-                    // What a cancelled task would save is of no use to anybody.
-                    asked.push((task.clone(), p.attempt, ExpectedEffect::Stop));
-                    commands.push(AgentCommand::Stop {
-                        task: task.to_string(),
-                        attempt: p.attempt,
-                        slack_s: if cancelled { 0.0 } else { slack.ceil() },
-                    });
-                }
-            } else if never_sent && !takes_starts {
-                unsent.push(task);
-            } else if never_sent && p.committed && starts.len() + commands.len() < MAX_COMMANDS {
-                p.sent = Some(report);
-                asked.push((task.clone(), p.attempt, ExpectedEffect::Run));
-                starts.push(AgentCommand::Run {
-                    task: task.to_string(),
-                    attempt: p.attempt,
-                });
-            }
+            answer.stop(task, *attempt, 0.0);
         }
-        for task in unsent {
-            self.release(&task.job, task.index);
+    }
+
+    /// Starts or stops a placed task where that is due. Returns true if it was never sent and is to be released.
+    fn command_placed(
+        &mut self,
+        task: &TaskId,
+        report: HeartbeatPosition,
+        takes_starts: bool,
+        answer: &mut Answer,
+    ) -> bool {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return false;
+        };
+        let cancelled = job.ending;
+        let slack = job.spec.save_slack();
+        let Some(p) = job.placement_mut(task.index) else {
+            return false;
+        };
+        let never_sent = !p.inherited && p.sent.is_none();
+        let is_stopped = cancelled || p.stopping.is_some();
+        if never_sent && (is_stopped || !takes_starts) {
+            return true;
         }
-        commands.truncate(MAX_COMMANDS - starts.len());
-        commands.extend(starts);
-        if let Some(m) = self.machines.get_mut(machine) {
-            m.expected_effects = asked;
+        if is_stopped {
+            // What a cancelled task would save is of no use to anybody.
+            if cancelled || p.reported_state != Some(TaskState::Saving) {
+                let slack_s = if cancelled { 0.0 } else { slack.ceil() };
+                answer.stop(task, p.attempt, slack_s);
+            }
+        } else if never_sent && p.committed && !answer.is_full() {
+            p.sent = Some(report);
+            answer.start(task, p.attempt);
         }
-        commands
+        false
     }
 
     /// Whether the machine has placements whose starts wait only for being written.
