--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -30,20 +30,36 @@
             });
         }
         self.observe_machine(&r.machine, &r.machine_type, &r.zone, r.spot, now);
-        let Some(m) = self.machines.get_mut(&r.machine) else {
-            return HeartbeatOutcome::default();
-        };
-        let at = r.position();
-        if m.newest.is_some_and(|newest| at <= newest) {
+        let newest = self.machines.get(&r.machine).and_then(|m| m.newest);
+        if newest.is_some_and(|newest| r.position() <= newest) {
             return HeartbeatOutcome::default();
         }
-        let echoes = r.token == self.token;
         let index = TaskStatusIndex::new(r);
         self.count_unacknowledged(r, &index, via, now);
+        self.record_contact(r, via, now);
+        self.mark_ready(r, now);
+        let is_noticed = self.record_notice(r, now);
+        let mut changed = self.reconcile_placements(r, &index, now);
+        changed |= self.reconcile_unplaced(r, now);
+        if is_noticed {
+            self.events.push(SchedulerEvent::PreemptionNotice {
+                machine: r.machine.clone(),
+            });
+            self.drain_for_notice(&r.machine);
+        }
+        self.update_idle(&r.machine, now);
+        HeartbeatOutcome {
+            fresh: true,
+            changed,
+        }
+    }
+
+    /// Records when and how a machine's newest heartbeat came.
+    fn record_contact(&mut self, r: &Heartbeat, via: &str, now: Micros) {
         let Some(m) = self.machines.get_mut(&r.machine) else {
-            return HeartbeatOutcome::default();
+            return;
         };
-        m.newest = Some(at);
+        m.newest = Some(r.position());
         m.reported_at = now;
         m.is_reachable = true;
         m.expected_effects.clear();
@@ -55,49 +71,53 @@
         if !m.is_inbound_unreachable() {
             m.last_contact = now;
         }
+    }
+
+    /// Makes a machine ready whose heartbeat proves that it came up.
+    fn mark_ready(&mut self, r: &Heartbeat, now: Micros) {
+        let Some(m) = self.machines.get_mut(&r.machine) else {
+            return;
+        };
         // Guards against a late copy bringing back a machine that an earlier leader terminated: until a heartbeat shows
         // this leader's token, only a machine provisioned by this leader is taken to be there.
-        let comes_up =
-            m.state == MachineState::Provisioning && (echoes || m.is_provisioned_by_this_term);
-        if comes_up {
-            m.state = MachineState::Ready;
-            m.idle_since = Some(now);
-            m.images
-                .extend(self.known_images.remove(&r.machine).unwrap_or_default());
-            m.written_images = m.image_names();
-            self.events.push(SchedulerEvent::MachineReady {
-                machine: r.machine.clone(),
-                machine_type: r.machine_type.clone(),
-                zone: r.zone.clone(),
-                spot: r.spot,
-                after: now.since(m.since),
-            });
+        let is_proven = r.token == self.token || m.is_provisioned_by_this_term;
+        if m.state != MachineState::Provisioning || !is_proven {
+            return;
         }
-        let noticed = r.notice_s.is_some() && m.notice.is_none();
+        m.state = MachineState::Ready;
+        m.idle_since = Some(now);
+        let images = self.known_images.remove(&r.machine);
+        m.images.extend(images.unwrap_or_default());
+        m.written_images = m.image_names();
+        self.provisioning_times
+            .observe(m, &self.machine_types, true, now);
+        self.events.push(SchedulerEvent::MachineReady {
+            machine: r.machine.clone(),
+            machine_type: r.machine_type.clone(),
+            zone: r.zone.clone(),
+            spot: r.spot,
+            after: now.since(m.since),
+        });
+    }
+
+    /// Records a preemption notice. Returns whether it is the first of its machine.
+    fn record_notice(&mut self, r: &Heartbeat, now: Micros) -> bool {
+        let Some(m) = self.machines.get_mut(&r.machine) else {
+            return false;
+        };
+        let is_first = r.notice_s.is_some() && m.notice.is_none();
         m.notice = r.notice_s.map(|s| now + Micros::from_secs_f64(s));
-        if comes_up {
-            self.provisioning_times
-                .observe(m, &self.machine_types, true, now);
-        }
-        let mut changed = self.reconcile_placements(r, &index, now);
-        changed |= self.reconcile_unplaced(r, now);
-        if noticed {
-            self.events.push(SchedulerEvent::PreemptionNotice {
-                machine: r.machine.clone(),
-            });
-            self.drain_for_notice(&r.machine);
-        }
-        if let Some(m) = self.machines.get_mut(&r.machine) {
+        is_first
+    }
+
+    fn update_idle(&mut self, machine: &MachineId, now: Micros) {
+        if let Some(m) = self.machines.get_mut(machine) {
             if !m.is_empty() {
                 m.idle_since = None;
             } else if m.idle_since.is_none() {
                 m.idle_since = Some(now);
             }
         }
-        HeartbeatOutcome {
-            fresh: true,
-            changed,
-        }
     }
 
     /// Counts the heartbeats in a row that show no sign of the answers before them: a token that stays behind, commands
