--- a/src/election.rs
+++ b/src/election.rs
@@ -2,7 +2,7 @@
 //! token.
 
 use crate::clock::{Clock, sleep};
-use crate::kv::{Change, Condition, KvClient, KvError, Lookup, Outcome, Urgency};
+use crate::kv::{Change, Condition, KvClient, KvError, LeaseId, Lookup, Outcome, Urgency};
 use crate::membership::Membership;
 use crate::state_loss::StateLossRecovery;
 use crate::store::{LeaderRecord, StateCache, StoreKey, encode};
@@ -118,7 +118,7 @@
         ))
     }
 
-    fn prepare_campaign(&self, lease: u64) -> Campaign {
+    fn prepare_campaign(&self, lease: LeaseId) -> Campaign {
         let node = self.membership.node();
         let record = LeaderRecord {
             node: node.to_owned(),
--- a/src/kv.rs
+++ b/src/kv.rs
@@ -20,6 +20,7 @@
 pub use client::KvClient;
 pub use error::{FailureCause, KvError, MalformedResponse};
 pub use items::{Item, Lookup, Page};
+pub use lease::LeaseId;
 pub use retransmit::RetransmitTimer;
 pub use transaction::{Change, Condition, MAX_BATCH_BYTES, Outcome};
 pub use watch::{Event, WatchResponse};
--- a/src/kv/transaction.rs
+++ b/src/kv/transaction.rs
@@ -3,6 +3,7 @@
 use super::budget::Urgency;
 use super::client::KvClient;
 use super::error::KvError;
+use super::lease::LeaseId;
 use super::wire;
 use crate::clock::sleep;
 use futures_lite::FutureExt;
@@ -39,7 +40,7 @@
         /// The new value.
         value: Value,
         /// The lease with which the key ends, if any.
-        lease: Option<u64>,
+        lease: Option<LeaseId>,
     },
     /// Removes a key.
     Delete {
--- a/src/kv/wire.rs
+++ b/src/kv/wire.rs
@@ -1,6 +1,7 @@
 //! The protocol's messages under its own field names, mapped to the client's types here and nowhere else.
 
 use super::error::KvError;
+use super::lease::LeaseId;
 use super::{items, transaction, watch};
 use crate::units::Micros;
 use serde::{Deserialize, Serialize, Serializer};
@@ -29,7 +30,7 @@
         #[serde(rename = "data")]
         value: &'a Value,
         #[serde(rename = "tenure", skip_serializing_if = "Option::is_none")]
-        lease: Option<u64>,
+        lease: Option<LeaseId>,
     },
     Delete {
         #[serde(rename = "delete")]
@@ -107,7 +108,7 @@
 #[derive(Deserialize)]
 pub(super) struct Lease {
     #[serde(rename = "tenure")]
-    pub id: u64,
+    pub id: LeaseId,
 }
 
 #[derive(Deserialize)]
--- a/src/kv/wire/tests.rs
+++ b/src/kv/wire/tests.rs
@@ -1,5 +1,5 @@
 use super::{grant, transaction};
-use crate::kv::{Change, Condition};
+use crate::kv::{Change, Condition, LeaseId};
 use crate::units::Micros;
 use serde_json::{Value, json};
 
@@ -16,7 +16,7 @@
     let leased = Change::Put {
         key: "r/leader".into(),
         value: json!({"node": "n-1", "lease": 3}),
-        lease: Some(3),
+        lease: Some(LeaseId(3)),
     };
     let delete = Change::Delete {
         key: "r/job/j-1".into(),
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -4,7 +4,7 @@
 
 use super::keys::{InvalidKey, StoreKey};
 use crate::cloud_types::ProvisioningRequest;
-use crate::kv::{Change, Condition};
+use crate::kv::{Change, Condition, LeaseId};
 use crate::scheduler::{JobEnd, JobId, MachineId, Pool};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -46,7 +46,7 @@
     }
 
     /// The change that writes a record which ends with a lease.
-    pub fn put_with_lease(&self, record: &impl Serialize, lease: u64) -> Change {
+    pub fn put_with_lease(&self, record: &impl Serialize, lease: LeaseId) -> Change {
         Change::Put {
             key: self.to_string(),
             value: encode(record),
@@ -117,7 +117,7 @@
     /// Drawn anew by every process, so that a restarted one is not taken for its former self.
     pub incarnation: u64,
     /// The lease that the key hangs on.
-    pub lease: u64,
+    pub lease: LeaseId,
 }
 
 /// A provisioning request that was sent or answered, as a new leader must know it.
--- a/src/term/lease.rs
+++ b/src/term/lease.rs
@@ -1,5 +1,6 @@
 //! The lease that a term hangs on, and the reasons for which a term ends.
 
+use crate::kv::LeaseId;
 use crate::units::Micros;
 use std::cell::Cell;
 use thiserror::Error;
@@ -40,7 +41,7 @@
     /// The version of the leader key: the fencing token less what is added to it after a loss of stored state.
     pub revision: u64,
     /// The lease that the leader key hangs on.
-    pub id: u64,
+    pub id: LeaseId,
     /// Losses of stored state that this process had found by then.
     pub losses_found: u64,
     /// Until when it certainly lasts, by this controller's own clock.
@@ -52,7 +53,7 @@
     pub fn new(
         token: u64,
         revision: u64,
-        id: u64,
+        id: LeaseId,
         losses_found: u64,
         requested_at: Micros,
         ttl: Micros,
@@ -69,7 +70,7 @@
     /// A lease that has expired, of a deployment that never lost stored state.
     #[cfg(test)]
     pub(crate) fn expired(token: u64, id: u64) -> LeaderLease {
-        LeaderLease::new(token, token, id, 0, Micros::ZERO, Micros::ZERO)
+        LeaderLease::new(token, token, LeaseId(id), 0, Micros::ZERO, Micros::ZERO)
     }
 
     /// Whether nobody else can lead yet.
--- a/tests/pinned_records.rs
+++ b/tests/pinned_records.rs
@@ -8,7 +8,7 @@
 mod support;
 
 use ravenhead::cloud::ProvisioningRequest;
-use ravenhead::kv::{Change, Condition, Event, Page, WatchResponse};
+use ravenhead::kv::{Change, Condition, Event, LeaseId, Page, WatchResponse};
 use ravenhead::scheduler::{
     CachedImage, ChunkRecord, JobEnd, JobId, JobOutcome, JobRecord, JobSpec, MachineId,
     MachineType, Priority, Shape,
@@ -222,7 +222,7 @@
     LeaderRecord {
         node: "n-2".into(),
         incarnation: u64::MAX,
-        lease: 17,
+        lease: LeaseId(17),
     }
 }
 
@@ -436,7 +436,7 @@
     let elected = Change::Put {
         key: StoreKey::Leader.to_string(),
         value: json!(leader()),
-        lease: Some(17),
+        lease: Some(LeaseId(17)),
     };
     let removed = Change::Delete {
         key: job_key(&job("j-1")),
--- a/tests/pinned_wire.rs
+++ b/tests/pinned_wire.rs
@@ -11,7 +11,7 @@
     serve,
 };
 use ravenhead::cloud::{Cloud, ProvisioningRequest};
-use ravenhead::kv::{Change, Condition, Event, KvClient, Lookup, Outcome, Urgency};
+use ravenhead::kv::{Change, Condition, Event, KvClient, LeaseId, Lookup, Outcome, Urgency};
 use ravenhead::scheduler::MachineId;
 use ravenhead::units::Micros;
 use serde_json::{Value, json};
@@ -446,7 +446,7 @@
         Change::Put {
             key: "a/b".to_owned(),
             value: json!({"x": 1, "list": [1.5, null, "é"]}),
-            lease: Some(7),
+            lease: Some(LeaseId(7)),
         },
         Change::put("c/e".to_owned(), json!(true)),
         Change::Delete {
@@ -494,8 +494,8 @@
         "grant" => told(state.grant(Micros::millis(5_000)).await, |id| {
             format!("lease {id}")
         }),
-        "extend" => told(state.extend(7).await, |()| "renewed".to_owned()),
-        "revoke" => told(state.revoke(7).await, |()| "ended".to_owned()),
+        "extend" => told(state.extend(LeaseId(7)).await, |()| "renewed".to_owned()),
+        "revoke" => told(state.revoke(LeaseId(7)).await, |()| "ended".to_owned()),
         other => panic!("no such call: {other}"),
     }
 }
