--- a/crates/index/src/cursor_log.rs
+++ b/crates/index/src/cursor_log.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Cursor(u64);
 
-/// Entries in the command in which they came; old ones are dropped from the front.
+/// Entries in the order in which they came; old ones are dropped from the front.
 #[derive(Debug, Clone)]
 pub struct CursorLog<T> {
     entries: VecDeque<T>,
--- a/crates/index/src/expiring_map.rs
+++ b/crates/index/src/expiring_map.rs
@@ -44,7 +44,7 @@
         self.lasts(*at, now).then_some((*at, value))
     }
 
-    /// All entries that have not expired, in no command.
+    /// All entries that have not expired, in no particular order.
     pub fn iter(&self, now: u64) -> impl Iterator<Item = (&K, &V)> {
         let lasting = self
             .entries
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -35,7 +35,7 @@
     },
 ];
 
-/// Versions in the command in which they are drawn, with their colours.
+/// Versions in the order in which they are drawn, with their colours.
 const VERSIONS: [(&str, RGBColor); 2] = [("before", RED), ("now", BLUE)];
 
 /// Writes the heartbeat.
--- a/crates/recovery/src/rebuild.rs
+++ b/crates/recovery/src/rebuild.rs
@@ -42,7 +42,7 @@
 }
 
 /// What has to be written so that everything in the snapshot is there again: keys that are missing, and keys that have an
-/// older value, in the command of the snapshot. Nothing is removed, and what is there and is not older stays, so that a
+/// older value, in the order of the snapshot. Nothing is removed, and what is there and is not older stays, so that a
 /// snapshot of nothing lost, or an old one, changes nothing that is known better.
 pub fn missing<V: PartialEq>(
     snapshot: impl IntoIterator<Item = (String, Stored<V>)>,
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -7,7 +7,7 @@
 use super::machine_type::MachineType;
 use super::reserve::Reserve;
 use super::{Scheduler, live_tasks};
-use crate::cloud::{Listed, ListedStatus};
+use crate::cloud_types::{Listed, ListedStatus};
 use crate::units::{Micros, Resources};
 use ravenhead_recovery::Resolution;
 use std::collections::{BTreeMap, HashSet};
--- a/src/scheduler/scenarios/failure_detection.rs
+++ b/src/scheduler/scenarios/failure_detection.rs
@@ -1,7 +1,7 @@
 //! Who is dead, and who only out of reach.
 
 use super::{Scenario, TOKEN, Worker, aborted, config, controller, runs, spec};
-use crate::cloud::{Listed, ListedStatus};
+use crate::cloud_types::{Listed, ListedStatus};
 use crate::scheduler::{AgentCommand, ControllerStatus, ExitCause, JobId, MachineId};
 use crate::units::Micros;
 
--- a/src/scheduler/scenarios/recovery.rs
+++ b/src/scheduler/scenarios/recovery.rs
@@ -1,7 +1,7 @@
 //! New leaders and restarts.
 
 use super::{Scenario, TOKEN, aborted, runs, spec};
-use crate::cloud::{Listed, ListedStatus};
+use crate::cloud_types::{Listed, ListedStatus};
 use crate::scheduler::{ExitCause, FleetPlan, JobId, JobSpec, MachineId, Pool, TaskState};
 use crate::units::Micros;
 
