--- a/src/api/peers.rs
+++ b/src/api/peers.rs
@@ -21,14 +21,16 @@
     pub async fn answer(&self, frame: Frame<PeerRequest>) -> Frame<PeerReply> {
         self.membership.observe(&frame.cluster_status);
         let message = match frame.message {
-            PeerRequest::Ping { cancelled, gone } => {
+            PeerRequest::Ping { cancelled, cleared } => {
                 self.cancellations.record(&cancelled);
-                self.cancellations.record_cleared(&gone);
+                self.cancellations.record_cleared(&cleared);
                 PeerReply::Pong
             }
-            PeerRequest::Heartbeat { relay, via, report } => {
-                self.workers.answer_relayed(report, &via, relay).await
-            }
+            PeerRequest::Heartbeat {
+                relay,
+                via,
+                heartbeat,
+            } => self.workers.answer_relayed(heartbeat, &via, relay).await,
         };
         Frame {
             cluster_status: self.membership.cluster_status(),
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -83,11 +83,11 @@
 
 impl UserApi {
     /// Answers a request of a user, or says that the path is unknown.
-    pub async fn answer(&self, call: &HttpRequest) -> HttpResponse {
-        let path: Vec<&str> = call.path.trim_matches('/').split('/').collect();
-        match (path.as_slice(), call.method) {
+    pub async fn answer(&self, request: &HttpRequest) -> HttpResponse {
+        let path: Vec<&str> = request.path.trim_matches('/').split('/').collect();
+        match (path.as_slice(), request.method) {
             (["ready"], Method::Get) => self.ready(),
-            (["work"], Method::Post) => self.submit(&call.body).await,
+            (["work"], Method::Post) => self.submit(&request.body).await,
             (["work", id], Method::Get) => self.query(id).await,
             (["work", id, "withdraw"], Method::Post) => self.cancel(id).await,
             (["ready"] | ["work"] | ["work", _] | ["work", _, "withdraw"], _) => {
@@ -108,7 +108,7 @@
     async fn submit(&self, body: &[u8]) -> HttpResponse {
         let spec = match JobSpec::parse(body) {
             Ok(spec) => spec,
-            Err(reason) => return HttpResponse::error(400, &reason),
+            Err(e) => return HttpResponse::error(400, &e.to_string()),
         };
         let id = spec.id.clone();
         if self.state_loss.withholds_answers() {
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -218,7 +218,7 @@
         let request = PeerRequest::Heartbeat {
             relay,
             via: via.to_owned(),
-            report: heartbeat.clone(),
+            heartbeat: heartbeat.clone(),
         };
         match peer
             .call(self.membership.cluster_status(), request, FORWARD_TIMEOUT)
--- a/src/cancellation/service.rs
+++ b/src/cancellation/service.rs
@@ -187,7 +187,7 @@
         let calls = self.peers.iter().map(|peer| {
             let ping = PeerRequest::Ping {
                 cancelled: cancelled.to_vec(),
-                gone: Vec::new(),
+                cleared: Vec::new(),
             };
             async move {
                 let cluster_status = self.membership.cluster_status();
--- a/src/config/derived.rs
+++ b/src/config/derived.rs
@@ -54,7 +54,7 @@
     }
 
     /// Returns the interval between the heartbeats of a worker.
-    pub fn report(&self) -> Micros {
+    pub fn heartbeat_interval(&self) -> Micros {
         Micros::from_secs_f64(self.facts.workers.report_s)
     }
 }
@@ -93,7 +93,7 @@
                 .unwrap_or_else(|| derive_max_scale_out(&facts.cloud)),
             recovery_report: self.recovery_report == Some(1),
             controllers: facts.size,
-            report: platform.report(),
+            report: platform.heartbeat_interval(),
             lease: Micros::from_secs_f64(facts.workers.lease_s),
             cancel: Micros::from_secs_f64(facts.workers.cancel_s),
             list_lag: Micros::from_secs_f64(facts.cloud.list_lag_s),
--- a/src/connections.rs
+++ b/src/connections.rs
@@ -41,7 +41,7 @@
     /// No connections yet.
     pub fn new(platform: &Platform) -> Connections {
         let max_sockets = platform.facts.machine_limits.max_sockets;
-        Connections::with_limits(max_sockets, platform.report())
+        Connections::with_limits(max_sockets, platform.heartbeat_interval())
     }
 
     fn with_limits(max_sockets: usize, heartbeat_interval: Micros) -> Connections {
--- a/src/contacts.rs
+++ b/src/contacts.rs
@@ -55,7 +55,7 @@
         store: Rc<StateCache>,
         membership: Rc<Membership>,
     ) -> ContactTracker {
-        let heartbeat_interval = platform.report();
+        let heartbeat_interval = platform.heartbeat_interval();
         let lease = Micros::from_secs_f64(platform.facts.workers.lease_s);
         let limits = &platform.facts.state;
         let max_value_bytes = (limits.value_kb * 1024.0).min(MAX_VALUE_BYTES) * VALUE_FILL;
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -39,7 +39,7 @@
             .borrow()
             .values()
             .filter(|record| record.machines.is_none())
-            .map(|record| record.rental.clone())
+            .map(|record| record.request.clone())
             .collect();
         for request in unanswered {
             self.send(&request).await;
@@ -64,7 +64,7 @@
         }
         let at = self.clock.unix_time();
         let records = requests.iter().map(|(_, request)| ProvisioningRecord {
-            rental: request.clone(),
+            request: request.clone(),
             machines: None,
             at,
         });
@@ -177,7 +177,7 @@
         forgotten: Vec<String>,
     ) -> bool {
         let puts = records.iter().map(|record| {
-            let name = record.rental.request_name.clone();
+            let name = record.request.request_name.clone();
             StoreKey::Provisioning(name).put(record)
         });
         let forgotten_keys = forgotten.iter().cloned().map(StoreKey::Provisioning);
@@ -203,7 +203,7 @@
                 provisioning.remove(request_name);
             }
             for record in records {
-                provisioning.insert(record.rental.request_name.clone(), record);
+                provisioning.insert(record.request.request_name.clone(), record);
             }
         }
         is_written
--- a/src/peer/messages.rs
+++ b/src/peer/messages.rs
@@ -28,10 +28,10 @@
 pub enum PeerRequest {
     /// The knowledge, and what there is to tell of cancelled jobs.
     Ping {
-        /// Those that the other was not told of yet.
+        /// Those that the receiver has not acknowledged yet.
         cancelled: Vec<Cancellation>,
         /// Cancelled jobs of which nothing is left on these machines.
-        gone: Vec<ResidueCleared>,
+        cleared: Vec<ResidueCleared>,
     },
     /// A worker's heartbeat, to be answered by the leader.
     Heartbeat {
@@ -40,7 +40,7 @@
         /// The controller that the worker reported to.
         via: String,
         /// The heartbeat.
-        report: Heartbeat,
+        heartbeat: Heartbeat,
     },
 }
 
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -31,7 +31,7 @@
                 let limit = Micros::secs(30);
                 let ping = PeerRequest::Ping {
                     cancelled: Vec::new(),
-                    gone: Vec::new(),
+                    cleared: Vec::new(),
                 };
                 let reply = peer.call(ClusterStatus::default(), ping, limit).await;
                 assert_eq!(reply.expect("a reply").message, PeerReply::Pong);
@@ -77,7 +77,7 @@
         cluster_status: ClusterStatus::default(),
         message: PeerRequest::Ping {
             cancelled: vec![cancelled],
-            gone: Vec::new(),
+            cleared: Vec::new(),
         },
     };
     let bytes = bitcode::encode(&ping).len();
--- a/src/scheduler/job_spec.rs
+++ b/src/scheduler/job_spec.rs
@@ -3,6 +3,7 @@
 use super::ids::JobId;
 use crate::units::Resources;
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 /// Maximum of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
@@ -100,24 +101,54 @@
     pub due_s: Option<f64>,
 }
 
+/// Why a submission is refused, in the protocol's names of its fields.
+#[derive(Debug, Error)]
+pub enum InvalidSubmission {
+    /// The body is no JSON object.
+    #[error("not an object")]
+    NotAnObject,
+    /// The body is not of the protocol's form.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// The job's name is not one.
+    #[error("nameId is not a job id")]
+    JobId,
+    /// There are no tasks, or too many.
+    #[error("takes must be 1 to {MAX_TASKS}")]
+    TaskCount,
+    /// An amount is negative, too large or not finite.
+    #[error("{field} is out of range")]
+    OutOfRange {
+        /// The field.
+        field: &'static str,
+    },
+    /// A name is longer than any may be.
+    #[error("a name is too long")]
+    NameTooLong,
+}
+
 impl JobSpec {
-    /// Reads a submission; the error says what is wrong with it.
-    pub fn parse(body: &[u8]) -> Result<JobSpec, String> {
+    /// Parses a submission.
+    ///
+    /// # Errors
+    ///
+    /// Fails where it is not of the protocol's form, or a value is out of its range.
+    pub fn parse(body: &[u8]) -> Result<JobSpec, InvalidSubmission> {
         // A list would pass as a struct with serde, but a submission must be an object.
         if body.iter().find(|b| !b.is_ascii_whitespace()) != Some(&b'{') {
-            return Err("not an object".into());
+            return Err(InvalidSubmission::NotAnObject);
         }
-        let spec: JobSpec = serde_json::from_slice(body).map_err(|e| e.to_string())?;
+        let spec: JobSpec = serde_json::from_slice(body)?;
         spec.check()?;
         Ok(spec)
     }
 
-    fn check(&self) -> Result<(), String> {
+    fn check(&self) -> Result<(), InvalidSubmission> {
         if JobId::parse(&self.id.0).is_none() {
-            return Err("nameId is not a job id".into());
+            return Err(InvalidSubmission::JobId);
         }
         if self.tasks == 0 || self.tasks > MAX_TASKS {
-            return Err(format!("takes must be 1 to {MAX_TASKS}"));
+            return Err(InvalidSubmission::TaskCount);
         }
         let amounts = [
             ("cores", self.cores),
@@ -129,15 +160,14 @@
             ("stowS", self.save_s),
             ("dueS", self.due_s.unwrap_or(0.0)),
         ];
-        for (name, value) in amounts {
-            if !(0.0..=MAX_AMOUNT).contains(&value) {
-                return Err(format!("{name} is out of range"));
-            }
+        let is_in_range = |value: f64| (0.0..=MAX_AMOUNT).contains(&value);
+        if let Some((field, _)) = amounts.into_iter().find(|(_, value)| !is_in_range(*value)) {
+            return Err(InvalidSubmission::OutOfRange { field });
         }
         let names = [&self.class, &self.team, &self.image];
         let listed = self.machine_types.iter().flatten().chain(&self.zone);
         if names.into_iter().chain(listed).any(|n| n.len() > MAX_NAME) {
-            return Err("a name is too long".into());
+            return Err(InvalidSubmission::NameTooLong);
         }
         Ok(())
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -38,7 +38,7 @@
 pub use fleet::{FleetPlan, Pool, ScaleOutRequest};
 pub use ids::{JobId, MachineId, TaskId};
 pub use job::{Chunk, Job, Placement, StopReason};
-pub use job_spec::{JobSpec, MAX_TASKS, Priority, Shape};
+pub use job_spec::{InvalidSubmission, JobSpec, MAX_TASKS, Priority, Shape};
 pub use machine::{CachedImage, ExpectedEffect, Machine, MachineState};
 pub use machine_type::MachineType;
 pub use messages::{AgentCommand, ExitCause, Heartbeat, TaskState, TaskStatus};
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -124,7 +124,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProvisioningRecord {
     /// The request.
-    pub rental: ProvisioningRequest,
+    #[serde(rename = "rental")]
+    pub request: ProvisioningRequest,
     /// The machines, once known.
     pub machines: Option<Vec<MachineId>>,
     /// When, by the time of day in microseconds.
@@ -135,9 +136,9 @@
     /// The pool that the machines belong to.
     pub fn pool(&self) -> Pool {
         Pool {
-            machine_type: self.rental.machine_type.clone(),
-            zone: self.rental.zone.clone(),
-            spot: self.rental.spot,
+            machine_type: self.request.machine_type.clone(),
+            zone: self.request.zone.clone(),
+            spot: self.request.spot,
         }
     }
 }
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -70,7 +70,7 @@
     let rental = json!({"rental": {"charter": "r-7-0", "rig": "g8", "zone": "a", "spot": true, "count": 2},
         "machines": ["m-1"], "at": 5});
     let read: ProvisioningRecord = serde_json::from_value(rental.clone()).expect("a rental");
-    assert_eq!(read.rental.request_name, "r-7-0");
+    assert_eq!(read.request.request_name, "r-7-0");
     assert_eq!(json!(read), rental);
     let types = json!([{"label": "g8", "cores": 16.0, "cards": 2.0, "ramGb": 128.0, "localGb": 100.0, "fetchGbPerS": 0.5,
         "rate": 6.0, "lowPrice": 2.0, "bootS": 40.0, "yards": ["a"]}]);
--- a/tests/pinned_frames.rs
+++ b/tests/pinned_frames.rs
@@ -139,7 +139,7 @@
 fn ping() -> PeerRequest {
     PeerRequest::Ping {
         cancelled: vec![cancellation()],
-        gone: vec![gone()],
+        cleared: vec![gone()],
     }
 }
 
@@ -292,7 +292,7 @@
 fn frame_of_each_request_variant_keeps_its_bytes() {
     let nothing = PeerRequest::Ping {
         cancelled: Vec::new(),
-        gone: Vec::new(),
+        cleared: Vec::new(),
     };
     let several = PeerRequest::Ping {
         cancelled: vec![
@@ -307,7 +307,7 @@
     let answer_relayed = |relay| PeerRequest::Heartbeat {
         relay,
         via: "n-1".into(),
-        report: report(),
+        heartbeat: report(),
     };
     let unknown = Frame {
         cluster_status: ClusterStatus::default(),
--- a/tests/pinned_records.rs
+++ b/tests/pinned_records.rs
@@ -289,25 +289,25 @@
 #[test]
 fn rentals_keep_their_keys_and_bytes() {
     let asked = ProvisioningRecord {
-        rental: rental(),
+        request: rental(),
         machines: None,
         at: 5,
     };
     let answered = ProvisioningRecord {
-        rental: ProvisioningRequest {
+        request: ProvisioningRequest {
             request_name: "r-4294967303-12".into(),
             spot: false,
-            ..rental()
+            ..request()
         },
         machines: Some(vec![machine("m-000001"), machine("m-000002")]),
         at: 1_800_000_000_123_456,
     };
     let written = [("asked", asked), ("answered", answered)];
-    let written = written.map(|(name, r)| (name, provisioning_key(&r.rental.request_name), r));
+    let written = written.map(|(name, r)| (name, provisioning_key(&r.request.request_name), r));
     assert_records("rental", &written);
     let (view, _) = view(FIXTURE, "rental");
     for (_, _, record) in written {
-        assert_eq!(view.provisioning[&record.rental.request_name], record);
+        assert_eq!(view.provisioning[&record.request.request_name], record);
     }
 }
 
@@ -473,7 +473,7 @@
     assert_eq!(view.end(&job("j-4")), Some(done()));
     assert_eq!(view.leader.as_ref().expect("a leader").value, leader());
     let asked = ProvisioningRecord {
-        rental: rental(),
+        request: rental(),
         machines: None,
         at: 5,
     };
