--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -44,6 +44,12 @@
         let replicas = self.replicas.max(1) as u64;
         BETWEEN_MOVES.min(Micros::secs(REPLICAS_PER_MOVE).scaled(1, replicas))
     }
+
+    /// Whether capacity has been spare for long enough, counted from now on if it was not, and the last move is past.
+    fn is_due(&mut self, now: Micros) -> bool {
+        let since = *self.spare_since.get_or_insert(now);
+        now.since(since) >= MIN_SPARE_PERIOD && now.since(self.moved_at) >= self.between_moves()
+    }
 }
 
 /// Machines with free resources by the images that they have, and what is reserved of these in this plan.
@@ -65,32 +71,7 @@
             .values()
             .filter(|j| j.spec.shape == Shape::Service);
         self.consolidation.replicas = services.map(|j| j.live as usize).sum();
-        let consolidating: Vec<MachineId> = self
-            .machines
-            .iter()
-            .filter(|(_, m)| m.consolidating)
-            .map(|(id, _)| id.clone())
-            .collect();
-        let mut in_progress = 0;
-        let blocked: Vec<bool> = if consolidating.is_empty() {
-            Vec::new()
-        } else {
-            let mut targets = self.targets();
-            let remaining = consolidating
-                .iter()
-                .map(|id| self.is_blocked(id, &mut targets));
-            remaining.collect()
-        };
-        for (id, blocked) in consolidating.iter().zip(blocked) {
-            let Some(m) = self.machines.get(id) else {
-                continue;
-            };
-            if (waiting && !m.is_empty()) || blocked || m.state != MachineState::Draining {
-                self.cancel_consolidation(id);
-            } else {
-                in_progress += 1;
-            }
-        }
+        let in_progress = self.review_consolidating(waiting);
         if waiting {
             self.consolidation.spare_since = None;
             return;
@@ -100,13 +81,7 @@
             return;
         }
         let max_machines = 1 + self.consolidation.replicas / REPLICAS_PER_CONSOLIDATION;
-        if in_progress >= max_machines {
-            return;
-        }
-        let since = *self.consolidation.spare_since.get_or_insert(now);
-        if now.since(since) < MIN_SPARE_PERIOD
-            || now.since(self.consolidation.moved_at) < self.consolidation.between_moves()
-        {
+        if in_progress >= max_machines || !self.consolidation.is_due(now) {
             return;
         }
         for machine in self.machines_to_consolidate(reserve, max_machines - in_progress) {
@@ -119,6 +94,32 @@
         }
     }
 
+    /// Cancels the consolidation of machines that are needed or can't be emptied. Returns how many others go on.
+    fn review_consolidating(&mut self, waiting: bool) -> usize {
+        let consolidating = self.machines.iter().filter(|(_, m)| m.consolidating);
+        let consolidating: Vec<MachineId> = consolidating.map(|(id, _)| id.clone()).collect();
+        if consolidating.is_empty() {
+            return 0;
+        }
+        let mut targets = self.targets();
+        let blocked = consolidating
+            .iter()
+            .map(|id| self.is_blocked(id, &mut targets));
+        let blocked: Vec<bool> = blocked.collect();
+        let mut in_progress = 0;
+        for (id, blocked) in consolidating.iter().zip(blocked) {
+            let Some(m) = self.machines.get(id) else {
+                continue;
+            };
+            if (waiting && !m.is_empty()) || blocked || m.state != MachineState::Draining {
+                self.cancel_consolidation(id);
+            } else {
+                in_progress += 1;
+            }
+        }
+        in_progress
+    }
+
     /// Whether nothing that a machine still holds can be moved any more.
     fn is_blocked(&self, id: &MachineId, targets: &mut Targets<'_>) -> bool {
         let reserved = self.machines.get(id).map(|m| m.reserved.keys());
