--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -128,7 +128,10 @@
             return None;
         }
         let now = self.clock.now();
-        let outcome = term.scheduler.borrow_mut().on_report(heartbeat, via, now);
+        let outcome = term
+            .scheduler
+            .borrow_mut()
+            .on_heartbeat(heartbeat, via, now);
         let unwritten = term.scheduler.borrow().awaits_write(&heartbeat.machine);
         if outcome.fresh && (outcome.changed || unwritten) {
             // What the heartbeat brought is written, and what it made room for is placed, before the worker is answered.
--- a/src/config/derived.rs
+++ b/src/config/derived.rs
@@ -93,7 +93,7 @@
                 .unwrap_or_else(|| derive_max_scale_out(&facts.cloud)),
             recovery_report: self.recovery_report == Some(1),
             controllers: facts.size,
-            report: platform.heartbeat_interval(),
+            heartbeat_interval: platform.heartbeat_interval(),
             lease: Micros::from_secs_f64(facts.workers.lease_s),
             cancel: Micros::from_secs_f64(facts.workers.cancel_s),
             list_lag: Micros::from_secs_f64(facts.cloud.list_lag_s),
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -148,7 +148,7 @@
                 at: 1,
                 machines: Vec::new(),
             }],
-            gone: Vec::new(),
+            cleared: Vec::new(),
         },
     };
     async_io::block_on(node.peer_api.answer(ping));
--- a/src/leader/commit.rs
+++ b/src/leader/commit.rs
@@ -114,7 +114,7 @@
         let mut scheduler = self.term.scheduler.borrow_mut();
         scheduler.batch_dropped(attempt.batch);
         for job in ended {
-            scheduler.job_is_over(&job);
+            scheduler.on_job_ended_elsewhere(&job);
         }
         Ok(())
     }
--- a/src/leader/fleet.rs
+++ b/src/leader/fleet.rs
@@ -42,7 +42,7 @@
                 continue;
             }
             let plan = self.plan(now);
-            if self.term.scheduler.borrow_mut().look_at_rebuild(now)
+            if self.term.scheduler.borrow_mut().check_rebuild(now)
                 && let Err(end) = self.state_loss.finish(self.term.lease(), true).await
             {
                 return end;
@@ -57,7 +57,7 @@
         let mut scheduler = self.term.scheduler.borrow_mut();
         scheduler.set_controllers(&self.membership.controllers(), now);
         if self.membership.peer_reports_partition() {
-            scheduler.end_calm();
+            scheduler.reset_stability();
         }
         scheduler.plan_fleet(now, self.clock.unix_time())
     }
--- a/src/peer_pinger.rs
+++ b/src/peer_pinger.rs
@@ -32,7 +32,7 @@
             let cancelled = self.cancellations.unacknowledged(&peer.node);
             let ping = PeerRequest::Ping {
                 cancelled: cancelled.clone(),
-                cleared: cleared,
+                cleared,
             };
             let cluster_status = self.membership.cluster_status();
             match peer.call(cluster_status, ping, PING_TIMEOUT).await {
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -280,7 +280,7 @@
         let task = m.reserved.keys().next()?.clone();
         let job = self.movable(&task)?;
         let need = job.spec.need();
-        let earliest = self.config.report.scaled(3, 4);
+        let earliest = self.config.heartbeat_interval.scaled(3, 4);
         let quiet = |m: &Machine| now.since(m.reported_at);
         let in_time = |m: &Machine| {
             quiet(m) + HANDOVER <= earliest
--- a/src/scheduler/failure_detection/mod.rs
+++ b/src/scheduler/failure_detection/mod.rs
@@ -62,9 +62,9 @@
 
 impl Timeouts {
     fn new(config: &SchedulerConfig) -> Timeouts {
-        let heartbeat = config.report.scaled(5, 4) + HEARTBEAT_SLACK;
+        let heartbeat = config.heartbeat_interval.scaled(5, 4) + HEARTBEAT_SLACK;
         Timeouts {
-            heartbeat_interval: config.report,
+            heartbeat_interval: config.heartbeat_interval,
             heartbeat,
             two_reconnects: heartbeat + WORKER_RECONNECT.scaled(2, 1),
             lease_expiry: config.lease + heartbeat,
@@ -121,7 +121,7 @@
     }
 
     /// Another controller can't reach one that answers here: workers beyond that partition look for another as well.
-    pub fn end_calm(&mut self) {
+    pub fn reset_stability(&mut self) {
         self.failure_detector.controllers.reset_stability();
     }
 
@@ -218,7 +218,7 @@
     ///
     /// A short pause only moves what was heard along, so that a leader that is slow all the time still detects failures.
     pub fn on_process_pause(&mut self, gap: Micros, now: Micros) {
-        let long = gap >= self.config.report;
+        let long = gap >= self.config.heartbeat_interval;
         for m in self.machines.values_mut() {
             if long {
                 m.suspicion_suppressed_at = now;
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -312,7 +312,7 @@
             // What it reports as finished must be written first.
             if !m.is_empty()
                 || !m.exited.is_empty()
-                || now.since(m.last_contact) > self.config.report.scaled(2, 1)
+                || now.since(m.last_contact) > self.config.heartbeat_interval.scaled(2, 1)
             {
                 continue;
             }
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -18,7 +18,7 @@
 
 impl Scheduler {
     /// Takes in a heartbeat that the controller `via` passed on, or that came to this one.
-    pub fn on_report(&mut self, r: &Heartbeat, via: &str, now: Micros) -> HeartbeatOutcome {
+    pub fn on_heartbeat(&mut self, r: &Heartbeat, via: &str, now: Micros) -> HeartbeatOutcome {
         self.latest = now;
         // Late heartbeats of terminated machines must not bring them back.
         if self.terminated.contains(&r.machine) {
@@ -133,7 +133,7 @@
         now: Micros,
     ) {
         let lease = self.config.lease;
-        let window = lease + self.config.report.scaled(2, 1);
+        let window = lease + self.config.heartbeat_interval.scaled(2, 1);
         let Some(m) = self.machines.get_mut(&r.machine) else {
             return;
         };
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -69,7 +69,7 @@
     /// Number of controllers.
     pub controllers: usize,
     /// Interval of heartbeats.
-    pub report: Micros,
+    pub heartbeat_interval: Micros,
     /// Lease of workers: how long they run tasks without an answer.
     pub lease: Micros,
     /// Time within which a cancelled task must have stopped.
@@ -290,7 +290,7 @@
     }
 
     /// A commit found that the job had ended: nothing of it may be started, though its outcome is not known yet.
-    pub fn job_is_over(&mut self, id: &JobId) {
+    pub fn on_job_ended_elsewhere(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.ending = true;
             self.guarantees.mark_stale(&job.spec.team);
--- a/src/scheduler/offers.rs
+++ b/src/scheduler/offers.rs
@@ -326,7 +326,7 @@
         };
         let rates = self.machine_types.values().map(|f| f.fetch_gb_per_s);
         let rate = rates.fold(0.001, f64::max);
-        Micros::from_secs_f64(spec.image_gb / rate) + self.config.report > *within
+        Micros::from_secs_f64(spec.image_gb / rate) + self.config.heartbeat_interval > *within
     }
 
     /// Sorts jobs: what is critical first, then guarantees before borrowing, then by priority, then by deadline or age.
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -102,7 +102,7 @@
                 .max()
                 .unwrap_or_default();
             // The stop waits for a heartbeat, the exit is reported within a second, and then the reservation is used.
-            let until = now + self.config.report.scaled(5, 4) + save + Micros::secs(2);
+            let until = now + self.config.heartbeat_interval.scaled(5, 4) + save + Micros::secs(2);
             for task in victims {
                 self.stop_for(&task, id);
             }
--- a/src/scheduler/rebuild.rs
+++ b/src/scheduler/rebuild.rs
@@ -52,7 +52,7 @@
     }
 
     /// Returns true once every machine has reported what is on it, or is gone.
-    pub fn look_at_rebuild(&mut self, now: Micros) -> bool {
+    pub fn check_rebuild(&mut self, now: Micros) -> bool {
         let unheard = self
             .machines
             .values()
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -147,7 +147,7 @@
         now: Micros,
     ) -> Vec<ScaleOutRequest> {
         // A new leader first hears what there is.
-        let discovery_period = self.config.report.scaled(5, 4) + Micros::secs(1);
+        let discovery_period = self.config.heartbeat_interval.scaled(5, 4) + Micros::secs(1);
         if now.since(self.started_at) < discovery_period && !self.all_have_reported() {
             return Vec::new();
         }
@@ -294,8 +294,8 @@
                 .get(&m.machine_type)
                 .map_or(Micros::secs(60), MachineType::boot);
             // One that reported, but not yet to have heard this leader, does so with its next heartbeat or is not there.
-            let reports_soon =
-                m.newest.is_none() || now.since(m.last_contact) < self.config.report.scaled(2, 1);
+            let reports_soon = m.newest.is_none()
+                || now.since(m.last_contact) < self.config.heartbeat_interval.scaled(2, 1);
             let is_provisioning = m.state == MachineState::Provisioning
                 && reports_soon
                 && m.total != Resources::default()
--- a/src/scheduler/scenarios/commands.rs
+++ b/src/scheduler/scenarios/commands.rs
@@ -39,7 +39,7 @@
     t.submit(spec("j-1", 1));
     t.s.run_cycle(t.now);
     let report = t.workers.get_mut("m-1").unwrap().report("m-1");
-    t.s.on_report(&report, "n-1", t.now);
+    t.s.on_heartbeat(&report, "n-1", t.now);
     let at = report.position();
     assert_eq!(runs(&t.s.commands_for(&report.machine, at, t.now)), 0);
     t.commit();
@@ -78,7 +78,7 @@
     let w = t.workers.get_mut("m-1").unwrap();
     w.exit_all(ExitCause::Done);
     let report = w.report("m-1");
-    t.s.on_report(&report, "n-1", t.now);
+    t.s.on_heartbeat(&report, "n-1", t.now);
     let at = report.position();
     assert_eq!(t.s.commands_for(&report.machine, at, t.now), vec![]);
     t.commit();
@@ -119,7 +119,7 @@
     assert!(matches!(batch[0], Write::Chunk { places: true, .. }));
     // The commit found the end key taken.
     t.s.batch_dropped(&batch);
-    t.s.job_is_over(&job);
+    t.s.on_job_ended_elsewhere(&job);
     t.commit();
     assert_eq!(runs(&t.ask("m-1")), 0);
     assert_eq!(t.free_of("m-1"), 2);
@@ -252,7 +252,7 @@
         .insert(stray, (TaskState::Running, None));
     t.submit(spec("j-1", 1));
     let report = t.workers.get_mut("m-2").unwrap().report("m-2");
-    t.s.on_report(&report, "n-1", t.now);
+    t.s.on_heartbeat(&report, "n-1", t.now);
     t.round();
     t.beat_all();
     assert_eq!(t.running(), 1);
@@ -337,7 +337,7 @@
     t.round();
     t.beat("m-1");
     let running = t.workers.get_mut("m-1").expect("a worker").report("m-1");
-    t.s.on_report(&running, "n-1", t.now);
+    t.s.on_heartbeat(&running, "n-1", t.now);
     assert_eq!(t.s.next_batch(20, 36_000, true), vec![]);
     t.s.end_job(&job, aborted(0));
     t.workers
@@ -345,7 +345,7 @@
         .expect("a worker")
         .exit_all(ExitCause::Stopped);
     let stopped = t.workers.get_mut("m-1").expect("a worker").report("m-1");
-    t.s.on_report(&stopped, "n-1", t.now);
+    t.s.on_heartbeat(&stopped, "n-1", t.now);
     let urgent = t.s.next_batch(20, 36_000, true);
     assert!(matches!(urgent[..], [Write::Chunk { .. }]), "{urgent:?}");
     t.revision += 1;
@@ -401,7 +401,7 @@
     t.beat("m-1");
     t.workers.get_mut("m-1").unwrap().exit_all(ExitCause::Done);
     let report = t.workers.get_mut("m-1").unwrap().report("m-1");
-    t.s.on_report(&report, "n-1", t.now);
+    t.s.on_heartbeat(&report, "n-1", t.now);
     let batch = t.s.next_batch(20, 36_000, true);
     assert!(matches!(&batch[..], [Write::Whole { .. }]), "{batch:?}");
     assert_eq!(batch[0].ops(), 3);
@@ -409,7 +409,7 @@
     let at = report.position();
     assert_eq!(t.s.commands_for(&report.machine, at, t.now), vec![]);
     t.s.batch_dropped(&batch);
-    t.s.job_is_over(&job);
+    t.s.on_job_ended_elsewhere(&job);
     t.s.end_job(&job, aborted(1));
     assert!(
         !t.s.next_batch(20, 36_000, false)
--- a/src/scheduler/scenarios/failure_detection.rs
+++ b/src/scheduler/scenarios/failure_detection.rs
@@ -408,7 +408,7 @@
 fn an_unreachable_zone_is_not_terminated_before_its_leases_end() {
     let mut t = Scenario::new(0.0);
     t.s.config.idle = Some(Micros::secs(10_000));
-    t.s.config.report = Micros::secs(6);
+    t.s.config.heartbeat_interval = Micros::secs(6);
     for i in 0..60 {
         t.worker(&format!("m-{i}"), ["a", "a", "b"][i % 3], false);
     }
@@ -511,7 +511,7 @@
         t.wait(1);
         t.s.set_controllers(&controllers, t.now);
         if second >= 20 {
-            t.s.end_calm();
+            t.s.reset_stability();
         }
         for i in (0..20).filter(|i| i % 7 != 0 || second < 20) {
             t.beat(&format!("m-{i:02}"));
--- a/src/scheduler/scenarios/latency_sensitive.rs
+++ b/src/scheduler/scenarios/latency_sensitive.rs
@@ -215,7 +215,7 @@
             }
         }
         let report = worker.report("m-1");
-        t.s.on_report(&report, t.via, t.now);
+        t.s.on_heartbeat(&report, t.via, t.now);
     };
     finish(&mut t, 0);
     assert_eq!(t.s.next_batch(20, 36_000, true), vec![]);
--- a/src/scheduler/scenarios/mod.rs
+++ b/src/scheduler/scenarios/mod.rs
@@ -136,7 +136,7 @@
         max_scale_out_per_cycle: 24,
         recovery_report: true,
         controllers: 3,
-        report: Micros::secs(3),
+        heartbeat_interval: Micros::secs(3),
         lease: Micros::secs(36),
         cancel: Micros::secs(60),
         list_lag: Micros::secs(6),
@@ -303,7 +303,7 @@
     }
 
     fn deliver(&mut self, report: &Heartbeat) -> Vec<AgentCommand> {
-        self.s.on_report(report, self.via, self.now);
+        self.s.on_heartbeat(report, self.via, self.now);
         self.round();
         let at = report.position();
         self.s.commands_for(&report.machine, at, self.now)
@@ -321,7 +321,7 @@
         let mut reports = Vec::new();
         for (name, worker) in self.workers.iter_mut().skip(but) {
             let report = worker.report(name);
-            self.s.on_report(&report, self.via, self.now);
+            self.s.on_heartbeat(&report, self.via, self.now);
             reports.push(report);
         }
         self.round();
--- a/src/scheduler/scenarios/queue_order.rs
+++ b/src/scheduler/scenarios/queue_order.rs
@@ -218,7 +218,7 @@
         .get_mut(&first.0)
         .expect("a worker")
         .report(&first.0);
-    t.s.on_report(&report, "n-1", t.now);
+    t.s.on_heartbeat(&report, "n-1", t.now);
     t.s.run_cycle(t.now);
     assert!(t.s.offers_made <= 2 * 1_600, "{} offers", t.s.offers_made);
     assert_eq!(t.s.machines[&first].reserved.len(), 2);
--- a/src/scheduler/scenarios/recovery.rs
+++ b/src/scheduler/scenarios/recovery.rs
@@ -340,13 +340,13 @@
     assert_eq!(first.0, TaskState::Exited, "the lower attempt is stopped");
     // One machine was not heard, and the list is too old to tell of all there are.
     t.s.on_list(&[], begun);
-    assert!(!t.s.look_at_rebuild(t.now));
+    assert!(!t.s.check_rebuild(t.now));
     t.round();
     assert_eq!(t.s.jobs[&JobId("j-2".into())].live, 0);
     assert_eq!(t.s.plan_fleet(t.now, 1_000_000_000), FleetPlan::default());
     t.beat("m-2");
     t.beat("m-2");
-    assert!(!t.s.look_at_rebuild(t.now));
+    assert!(!t.s.check_rebuild(t.now));
     t.wait(20);
     t.beat_all();
     let list = ["m-1", "m-2", "m-3"].map(|name| Listed {
@@ -358,7 +358,7 @@
         age_s: 60.0,
     });
     t.s.on_list(&list, t.now);
-    assert!(t.s.look_at_rebuild(t.now));
+    assert!(t.s.check_rebuild(t.now));
     t.wait(1);
     t.round();
     let job = &t.s.jobs[&JobId("j-2".into())];
--- a/src/scheduler/scenarios/scale.rs
+++ b/src/scheduler/scenarios/scale.rs
@@ -106,7 +106,7 @@
             .expect("a worker")
             .report("m-000007");
         steps(&mut t, |t| {
-            t.s.on_report(&report, "n-1", t.now);
+            t.s.on_heartbeat(&report, "n-1", t.now);
             t.s.commands_for(&report.machine, report.position(), t.now);
             t.s.awaits_write(&report.machine);
         })
@@ -216,7 +216,7 @@
         reports.push(worker.report(name));
     }
     for report in reports {
-        t.s.on_report(&report, "n-1", t.now);
+        t.s.on_heartbeat(&report, "n-1", t.now);
     }
     assert_eq!(
         t.s.next_batch(20, 36_000, true),
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -34,7 +34,7 @@
     view.delete("r/job/j-1", 8);
     let status = view.status(&id("j-1")).expect("known for ever");
     assert_eq!((status.status, status.done), ("done", 3));
-    assert!(view.runs.is_empty() && view.jobs.is_empty());
+    assert!(view.chunks.is_empty() && view.jobs.is_empty());
 }
 
 // Guards against a watch that begins before a list: its older removals must not undo newer writes.
--- a/src/store/view.rs
+++ b/src/store/view.rs
@@ -57,7 +57,7 @@
     /// How many of the accepted jobs have ended, their records waiting for their removal.
     ended_with_record: usize,
     /// Chunks of jobs.
-    pub runs: BTreeMap<JobId, BTreeMap<u32, Versioned<ChunkRecord>>>,
+    pub chunks: BTreeMap<JobId, BTreeMap<u32, Versioned<ChunkRecord>>>,
     /// Images that machines have.
     pub images: BTreeMap<MachineId, Vec<CachedImage>>,
     /// Who leads; the version is the token.
@@ -88,7 +88,7 @@
 
     /// Returns the chunks of all jobs with their keys, in order of jobs and chunks.
     pub fn chunk_keys(&self) -> impl Iterator<Item = (StoreKey, &Versioned<ChunkRecord>)> {
-        self.runs.iter().flat_map(|(id, chunks)| {
+        self.chunks.iter().flat_map(|(id, chunks)| {
             chunks.iter().map(|(chunk, record)| {
                 let (job, chunk) = (id.clone(), *chunk);
                 (StoreKey::Chunk { job, chunk }, record)
@@ -98,7 +98,7 @@
 
     /// Returns the machines on which tasks of a job are placed, in order.
     pub fn machines_of(&self, id: &JobId) -> Vec<MachineId> {
-        let chunks = self.runs.get(id).into_iter().flat_map(|c| c.values());
+        let chunks = self.chunks.get(id).into_iter().flat_map(|c| c.values());
         let placed = chunks.flat_map(|c| c.value.live.iter().map(|(_, machine, _)| machine));
         let machines: BTreeSet<&MachineId> = placed.collect();
         machines.into_iter().cloned().collect()
--- a/src/store/view/apply.rs
+++ b/src/store/view/apply.rs
@@ -76,7 +76,7 @@
     }
 
     fn put_chunk(&mut self, job: JobId, chunk: u32, record: Versioned<ChunkRecord>) {
-        self.runs.entry(job).or_default().insert(chunk, record);
+        self.chunks.entry(job).or_default().insert(chunk, record);
     }
 
     fn put_archive(&mut self, value: Value) -> Result<(), InvalidRecord> {
@@ -117,12 +117,12 @@
     }
 
     fn delete_chunk(&mut self, job: &JobId, chunk: u32, version: u64) {
-        if let Some(chunks) = self.runs.get_mut(job) {
+        if let Some(chunks) = self.chunks.get_mut(job) {
             if chunks.get(&chunk).is_some_and(|c| c.version <= version) {
                 chunks.remove(&chunk);
             }
             if chunks.is_empty() {
-                self.runs.remove(job);
+                self.chunks.remove(job);
             }
         }
     }
--- a/src/store/view/status.rs
+++ b/src/store/view/status.rs
@@ -34,7 +34,7 @@
     /// The status of an accepted job that has not ended.
     fn unfinished(&self, id: &JobId) -> JobStatus {
         let (mut done, mut running) = (0, 0);
-        for chunk in self.runs.get(id).into_iter().flat_map(|c| c.values()) {
+        for chunk in self.chunks.get(id).into_iter().flat_map(|c| c.values()) {
             done += chunk.value.finished.count_ones();
             running += chunk.value.live.len() as u32;
         }
--- a/src/term.rs
+++ b/src/term.rs
@@ -171,7 +171,7 @@
 /// Gives the scheduler a job as the view has it.
 fn add_job(scheduler: &mut Scheduler, view: &View, id: &JobId, now: Micros) {
     if let Some(job) = view.jobs.get(id) {
-        let chunks = view.runs.get(id).into_iter().flatten();
+        let chunks = view.chunks.get(id).into_iter().flatten();
         let chunks = chunks.map(|(n, c)| (*n, c.value.clone(), c.version));
         scheduler.add_job(&job.value, view.end(id), chunks, now);
     }
--- a/tests/pinned_frames.rs
+++ b/tests/pinned_frames.rs
@@ -302,7 +302,7 @@
                 ..cancellation()
             },
         ],
-        gone: (0..3).map(|_| gone()).collect(),
+        cleared: (0..3).map(|_| gone()).collect(),
     };
     let answer_relayed = |relay| PeerRequest::Heartbeat {
         relay,
--- a/tests/pinned_records.rs
+++ b/tests/pinned_records.rs
@@ -282,7 +282,7 @@
     assert_records("run", &written);
     let (view, _) = view(FIXTURE, "run");
     for (_, id, n, record) in records {
-        assert_eq!(view.runs[&job(id)][&n].value, record);
+        assert_eq!(view.chunks[&job(id)][&n].value, record);
     }
 }
 
@@ -297,7 +297,7 @@
         request: ProvisioningRequest {
             request_name: "r-4294967303-12".into(),
             spot: false,
-            ..request()
+            ..rental()
         },
         machines: Some(vec![machine("m-000001"), machine("m-000002")]),
         at: 1_800_000_000_123_456,
@@ -468,8 +468,8 @@
         last_attempt: 2,
         live: Vec::new(),
     };
-    assert_eq!(view.runs[&job("j-1")][&0].value, finished);
-    assert_eq!(view.runs[&job("j-1")][&1].value, finished);
+    assert_eq!(view.chunks[&job("j-1")][&0].value, finished);
+    assert_eq!(view.chunks[&job("j-1")][&1].value, finished);
     assert_eq!(view.end(&job("j-4")), Some(done()));
     assert_eq!(view.leader.as_ref().expect("a leader").value, leader());
     let asked = ProvisioningRecord {
