--- a/src/api/wire.rs
+++ b/src/api/wire.rs
@@ -1,5 +1,6 @@
 //! What workers are answered, in the names and the order of the protocol.
 
+use crate::fencing::FencingToken;
 use crate::http::HttpResponse;
 use crate::scheduler::AgentCommand;
 use serde::Serialize;
@@ -10,7 +11,7 @@
     #[serde(rename = "orders")]
     commands: Vec<CommandMessage<'a>>,
     #[serde(rename = "warrant")]
-    token: u64,
+    token: FencingToken,
 }
 
 /// A command to a worker. The fields stand in the order in which they are sent.
@@ -61,7 +62,7 @@
 }
 
 /// The answer of a leader, or in the name of one that can't be asked.
-pub(super) fn answer_with(token: u64, commands: &[AgentCommand]) -> HttpResponse {
+pub(super) fn answer_with(token: FencingToken, commands: &[AgentCommand]) -> HttpResponse {
     let commands = commands.iter().map(CommandMessage::from).collect();
     HttpResponse::json(200, &HeartbeatAnswer { commands, token })
 }
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -4,6 +4,7 @@
 use crate::cancellation::CancellationService;
 use crate::clock::Clock;
 use crate::contacts::ContactTracker;
+use crate::fencing::FencingToken;
 use crate::futures::timeout;
 use crate::http::{HttpRequest, HttpResponse};
 use crate::membership::Membership;
@@ -28,7 +29,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
     /// The fencing token of the leader.
-    pub token: u64,
+    pub token: FencingToken,
     /// What the worker is to do.
     pub commands: Vec<AgentCommand>,
     /// The controller that the worker should send its heartbeats to instead.
@@ -88,7 +89,7 @@
             return redirect(&other);
         }
         let token = self.membership.cluster_status().token;
-        if token == 0 || token < heartbeat.token {
+        if token == FencingToken::NONE || token < heartbeat.token {
             return no_leader();
         }
         self.contacts.record_contact(machine);
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -1,4 +1,5 @@
 use super::{Cancellations, MAX_CANCELLATION_BYTES, MAX_CLEARED_PER_MESSAGE};
+use crate::fencing::FencingToken;
 use crate::peer::Cancellation;
 use crate::scheduler::TaskStatus;
 use crate::scheduler::{Heartbeat, JobId, MachineId, TaskState};
@@ -31,7 +32,7 @@
         spot: false,
         agent_epoch: 1,
         sequence,
-        token: 1,
+        token: FencingToken(1),
         notice_s: None,
         tasks: jobs.iter().map(running).collect(),
     }
--- a/src/leader/elections.rs
+++ b/src/leader/elections.rs
@@ -1,6 +1,7 @@
 //! From election to election: standing, leading when elected, and giving the leadership up.
 
 use super::Leader;
+use crate::fencing::FencingToken;
 use crate::term::{LeaderLease, LeaderTerm, TermEnd};
 use futures_lite::FutureExt;
 use log::info;
@@ -59,7 +60,7 @@
     }
 }
 
-fn log_term_end(token: u64, end: TermEnd) {
+fn log_term_end(token: FencingToken, end: TermEnd) {
     info!(
         "event=leader_term_ended token={token} reason={:?}",
         end.to_string()
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod contacts;
 pub mod controller;
 pub mod election;
+pub mod fencing;
 pub mod futures;
 pub mod http;
 pub mod kv;
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -2,6 +2,7 @@
 
 use crate::clock::Clock;
 use crate::config::{Member, Platform};
+use crate::fencing::FencingToken;
 use crate::peer::ClusterStatus;
 use crate::scheduler::ControllerStatus;
 use crate::store::StateCache;
@@ -39,9 +40,9 @@
     incarnation: u64,
     started_at: Micros,
     /// The fencing token of this controller's own term, while it leads.
-    own_term: Cell<Option<u64>>,
+    own_term: Cell<Option<FencingToken>>,
     /// The highest fencing token that any peer told.
-    highest_token_seen: Cell<u64>,
+    highest_token_seen: Cell<FencingToken>,
     /// When a peer last said that it misses another.
     partition_reported_at: Cell<Micros>,
     peer_statuses: RefCell<BTreeMap<String, PeerStatus>>,
@@ -61,7 +62,7 @@
             incarnation: fastrand::u64(..) >> 12,
             started_at: Clock.now(),
             own_term: Cell::new(None),
-            highest_token_seen: Cell::new(0),
+            highest_token_seen: Cell::new(FencingToken::NONE),
             partition_reported_at: Cell::new(Micros::ZERO),
             peer_statuses: RefCell::default(),
             suspended_routes: RefCell::default(),
@@ -99,7 +100,7 @@
     }
 
     /// Sets the fencing token of this controller's own term, or that it leads no more.
-    pub fn set_own_term(&self, token: Option<u64>) {
+    pub fn set_own_term(&self, token: Option<FencingToken>) {
         self.own_term.set(token);
     }
 
@@ -118,7 +119,7 @@
             incarnation: self.incarnation,
             leads: self.is_leading(),
         };
-        let mut consider = |token: u64, leader: Option<&str>| {
+        let mut consider = |token: FencingToken, leader: Option<&str>| {
             if token > best.token || (token == best.token && best.leader.is_none()) {
                 best.token = token;
                 best.leader = leader.map(str::to_owned);
--- a/src/peer/messages.rs
+++ b/src/peer/messages.rs
@@ -3,6 +3,7 @@
 //! The layout of these types is the wire format: `bitcode` writes fields and variants in their order, without names. A
 //! field or variant that is added, removed or moved can't be read by controllers of another version.
 
+use crate::fencing::FencingToken;
 use crate::scheduler::{AgentCommand, Heartbeat, JobId, MachineId};
 use bitcode::{Decode, Encode};
 
@@ -10,7 +11,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Encode, Decode)]
 pub struct ClusterStatus {
     /// The highest token known.
-    pub token: u64,
+    pub token: FencingToken,
     /// Who holds it, if that is known and it is held.
     pub leader: Option<String>,
     /// Whether the sender reaches the state service.
@@ -52,7 +53,7 @@
     /// The leader's answer to a heartbeat.
     Answer {
         /// Its token.
-        token: u64,
+        token: FencingToken,
         /// Its commands.
         commands: Vec<AgentCommand>,
     },
--- a/src/scheduler/events.rs
+++ b/src/scheduler/events.rs
@@ -3,6 +3,7 @@
 use super::failure_detection::LossCause;
 use super::ids::{JobId, MachineId, TaskId};
 use super::messages::ExitCause;
+use crate::fencing::FencingToken;
 use crate::units::Micros;
 use ravenhead_recovery::Counts;
 use std::fmt;
@@ -148,14 +149,14 @@
     /// A new leader begins to confirm the placements that it found recorded.
     RecoveryStarted {
         /// The leader's fencing token.
-        token: u64,
+        token: FencingToken,
         /// Placements found recorded.
         recorded: u64,
     },
     /// So many of them are not confirmed yet.
     RecoveryProgress {
         /// The leader's fencing token.
-        token: u64,
+        token: FencingToken,
         /// Placements not confirmed yet.
         unconfirmed: u64,
         /// What was found so far.
@@ -164,7 +165,7 @@
     /// All of them are confirmed or known to be gone.
     RecoveryCompleted {
         /// The leader's fencing token.
-        token: u64,
+        token: FencingToken,
         /// Placements found recorded.
         recorded: u64,
         /// Time taken.
@@ -175,7 +176,7 @@
     /// After a loss of stored state: machines are still waited for.
     RebuildWaiting {
         /// The leader's fencing token.
-        token: u64,
+        token: FencingToken,
         /// Whether a machine list is recent enough to have every machine.
         listed: bool,
         /// Machines that did not report yet.
@@ -184,7 +185,7 @@
     /// After a loss of stored state: every machine has reported.
     RebuildConfirmed {
         /// The leader's fencing token.
-        token: u64,
+        token: FencingToken,
         /// How many machines there are.
         machines: usize,
         /// Time taken.
--- a/src/scheduler/events/tests.rs
+++ b/src/scheduler/events/tests.rs
@@ -59,7 +59,7 @@
         on_time: 9,
     };
     let waiting = E::RebuildWaiting {
-        token: 7,
+        token: FencingToken(7),
         listed: false,
         unheard: 3,
     };
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -1,6 +1,7 @@
 //! The messages between workers and the leader: heartbeats and commands.
 
 use super::ids::{MachineId, TaskId};
+use crate::fencing::FencingToken;
 use bitcode::{Decode, Encode};
 use ravenhead_recovery::{HeartbeatPosition, ReportedState};
 use serde::{Deserialize, Serialize};
@@ -98,7 +99,7 @@
     pub sequence: u64,
     /// Highest fencing token that the worker has seen.
     #[serde(rename = "warrant")]
-    pub token: u64,
+    pub token: FencingToken,
     /// Seconds until the cloud preempts the machine.
     #[serde(default, rename = "warningS")]
     pub notice_s: Option<f64>,
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -46,6 +46,7 @@
 
 pub use writes::Write;
 
+use crate::fencing::FencingToken;
 use crate::units::{Micros, Resources};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
@@ -107,7 +108,7 @@
 /// The scheduler of one leader term.
 pub struct Scheduler {
     config: SchedulerConfig,
-    token: u64,
+    token: FencingToken,
     started_at: Micros,
     /// The time of the latest heartbeat or scheduling cycle.
     latest: Micros,
@@ -160,7 +161,7 @@
     pub fn new(
         config: SchedulerConfig,
         teams: BTreeMap<String, TeamQuota>,
-        token: u64,
+        token: FencingToken,
         seed: u64,
         now: Micros,
     ) -> Scheduler {
@@ -203,7 +204,7 @@
     }
 
     /// The fencing token of the leader term.
-    pub fn token(&self) -> u64 {
+    pub fn token(&self) -> FencingToken {
         self.token
     }
 
--- a/src/scheduler/scenarios/failure_detection.rs
+++ b/src/scheduler/scenarios/failure_detection.rs
@@ -1,6 +1,6 @@
 //! Who is dead, and who only out of reach.
 
-use super::{Scenario, TOKEN, Worker, aborted, config, controller, runs, spec};
+use super::{Scenario, TOKEN, Worker, aborted, config, controller, later, runs, spec};
 use crate::cloud_types::{Listed, ListedStatus};
 use crate::scheduler::{AgentCommand, ControllerStatus, ExitCause, JobId, MachineId};
 use crate::units::Micros;
@@ -259,7 +259,7 @@
     assert_eq!(t.s.jobs[&JobId("j-1".into())].live, 2);
     // To a new leader that has not heard the machine: no proof, no sign that it is there, no commands to start.
     t.submit(spec("j-2", 2));
-    t.take_over(TOKEN + 1);
+    t.take_over(later(TOKEN, 1));
     assert_eq!(runs(&t.deliver(&before_any)), 0);
     assert_eq!(t.s.jobs[&JobId("j-1".into())].live, 2);
     // A machine that the earlier leader returned is not brought back to take offers.
@@ -287,7 +287,7 @@
     assert_eq!(t.done.len(), 1);
     let job = JobId("j-1".into());
     assert!(!t.s.jobs.contains_key(&job), "nothing is left of it");
-    t.take_over(TOKEN + 2);
+    t.take_over(later(TOKEN, 2));
     t.deliver(&finished);
     assert!(!t.s.jobs.contains_key(&job) && t.done.len() == 1);
     // From a machine that this leader returned: nothing at all.
@@ -535,7 +535,7 @@
     t.submit(spec("j-1", 20));
     t.round();
     t.beat_all();
-    t.take_over(TOKEN + 1);
+    t.take_over(later(TOKEN, 1));
     let controllers = [controller("n-0", "a", false), controller("n-1", "a", true)];
     let mut given_up = None;
     for second in 1..60 {
--- a/src/scheduler/scenarios/mod.rs
+++ b/src/scheduler/scenarios/mod.rs
@@ -14,11 +14,17 @@
     JobEnd, JobId, JobOutcome, JobRecord, JobSpec, MachineId, MachineType, Priority, Scheduler,
     SchedulerConfig, Shape, TaskState, TaskStatus, TeamQuota, Write,
 };
+use crate::fencing::FencingToken;
 use crate::units::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-const TOKEN: u64 = 7;
+const TOKEN: FencingToken = FencingToken(7);
+
+/// The fencing token of a leader so many terms after another.
+fn later(token: FencingToken, terms: u64) -> FencingToken {
+    FencingToken(token.0 + terms)
+}
 
 /// A worker as the protocol describes it, as far as the scenarios need.
 #[derive(Default)]
@@ -27,7 +33,7 @@
     spot: bool,
     agent_epoch: u64,
     sequence: u64,
-    token: u64,
+    token: FencingToken,
     notice_s: Option<f64>,
     tasks: BTreeMap<(String, u64), (TaskState, Option<ExitCause>)>,
 }
@@ -57,7 +63,7 @@
         }
     }
 
-    fn execute(&mut self, orders: &[AgentCommand], token: u64) {
+    fn execute(&mut self, orders: &[AgentCommand], token: FencingToken) {
         if token < self.token {
             return;
         }
@@ -203,7 +209,7 @@
     }
 
     /// All controllers restart, or another takes over: a new scheduler gets what was written.
-    fn take_over(&mut self, token: u64) {
+    fn take_over(&mut self, token: FencingToken) {
         let teams = self.s.teams.clone();
         self.s = Scheduler::new(config(), teams, token, 1, self.now);
         self.s.set_machine_types(&[machine_type()]);
--- a/src/scheduler/scenarios/queue_order.rs
+++ b/src/scheduler/scenarios/queue_order.rs
@@ -1,6 +1,6 @@
 //! Whose turn it is, preemption, and scheduling cycles that stay bounded.
 
-use super::{Scenario, TOKEN, live, spec};
+use super::{Scenario, TOKEN, later, live, spec};
 use crate::scheduler::{
     AgentCommand, ExitCause, Job, JobId, JobSpec, MachineId, Priority, Shape, TaskState, TeamQuota,
 };
@@ -232,7 +232,7 @@
     // All controllers restart: the new leader hears two thousand machines on which all runs on, writes only down what
     // the last one had not, and rents and terminates nothing.
     t.beat_together(0);
-    t.take_over(TOKEN + 1);
+    t.take_over(later(TOKEN, 1));
     t.beat_together(0);
     t.beat_together(0);
     let before = t.revision;
--- a/src/scheduler/scenarios/recovery.rs
+++ b/src/scheduler/scenarios/recovery.rs
@@ -1,6 +1,6 @@
 //! New leaders and restarts.
 
-use super::{Scenario, TOKEN, aborted, runs, spec};
+use super::{Scenario, TOKEN, aborted, later, runs, spec};
 use crate::cloud_types::{Listed, ListedStatus};
 use crate::scheduler::{ExitCause, FleetPlan, JobId, JobSpec, MachineId, Pool, TaskState};
 use crate::units::Micros;
@@ -13,7 +13,7 @@
     t.round();
     // The old leader's start is on its way when the new one takes over.
     let late = t.ask("m-1");
-    t.take_over(TOKEN + 1);
+    t.take_over(later(TOKEN, 1));
     t.worker("m-2", "a", false);
     let orders = t.ask("m-1");
     assert_eq!(
@@ -31,7 +31,7 @@
     t.workers
         .get_mut("m-1")
         .unwrap()
-        .execute(&orders, TOKEN + 1);
+        .execute(&orders, later(TOKEN, 1));
     t.beat_all();
     t.beat_all();
     assert_eq!(t.running(), 1);
@@ -44,7 +44,7 @@
     t.submit(spec("j-1", 1));
     t.round();
     let late = t.ask("m-1");
-    t.take_over(TOKEN + 1);
+    t.take_over(later(TOKEN, 1));
     t.beat("m-1");
     t.beat("m-1");
     // The deposed leader's answer is dropped, as its token is lower now.
@@ -64,7 +64,7 @@
     t.round();
     t.beat_all();
     assert_eq!(t.running(), 4);
-    t.take_over(TOKEN + 1);
+    t.take_over(later(TOKEN, 1));
     t.beat_all();
     t.beat_all();
     assert_eq!(t.running(), 4);
@@ -91,7 +91,7 @@
     t.commit();
     t.records.remove(&first);
     t.worker("m-1", "a", false);
-    t.take_over(TOKEN + 1);
+    t.take_over(later(TOKEN, 1));
     t.beat_all();
     t.beat_all();
     t.submit(spec("j-2", 1));
@@ -135,7 +135,7 @@
 #[test]
 fn a_new_leader_provisions_once_it_has_heard_what_is_up() {
     let mut t = Scenario::new(0.0);
-    t.take_over(TOKEN + 1);
+    t.take_over(later(TOKEN, 1));
     let up = Listed {
         machine: MachineId("m-1".into()),
         machine_type: "rig".into(),
@@ -178,7 +178,7 @@
         spot: true,
     };
     let rents = |t: &mut Scenario, age: u64| {
-        t.take_over(t.s.token() + 1);
+        t.take_over(later(t.s.token(), 1));
         t.s.on_list(&[], t.now);
         let noted = [MachineId("m-1".into())];
         t.s.inherit_provisioned(&pool, &noted, Micros::secs(age), t.now);
@@ -201,7 +201,7 @@
         spot: true,
     };
     let noted: Vec<MachineId> = (0..4).map(|i| MachineId(format!("m-{i}"))).collect();
-    t.take_over(t.s.token() + 1);
+    t.take_over(later(t.s.token(), 1));
     t.s.inherit_provisioned(&pool, &noted, Micros::secs(69), t.now);
     t.s.on_list(&[], t.now);
     t.submit(spec("j-1", 2));
@@ -245,7 +245,7 @@
         t.beat_all();
         assert_eq!(t.running(), 2 - i, "nothing runs again");
         if i < 2 {
-            t.take_over(t.s.token() + 1);
+            t.take_over(later(t.s.token(), 1));
             t.beat_all();
             t.wait(30);
             t.beat_all();
@@ -269,7 +269,7 @@
     t.beat_all();
     t.beat_all();
     assert_eq!(t.running(), 3);
-    t.take_over(TOKEN + 1);
+    t.take_over(later(TOKEN, 1));
     let told = |t: &mut Scenario| {
         t.s.plan_fleet(t.now, 0);
         let notes = t.info_lines();
@@ -320,7 +320,7 @@
         worker.tasks.insert(("j-1/0".into(), attempt), running);
     };
     run(&mut t, "m-3", 7);
-    t.take_over(TOKEN + 1);
+    t.take_over(later(TOKEN, 1));
     t.s.begin_rebuild(1, t.now);
     t.submit(spec("j-2", 1));
     let begun = t.now;
--- a/src/state_loss.rs
+++ b/src/state_loss.rs
@@ -14,6 +14,7 @@
 use crate::cancellation::CancellationService;
 use crate::clock::Clock;
 use crate::config::{Platform, Settings, StateLimits};
+use crate::fencing::FencingToken;
 use crate::kv::KvClient;
 use crate::membership::Membership;
 use crate::store::{LossRecord, StateCache, View};
@@ -151,7 +152,8 @@
         let snapshot = loss.as_ref().and_then(|l| l.snapshot.as_ref());
         let highest_token = self.highest_known_token(&view, snapshot);
         let recorded = view.loss.as_ref().map(|l| &l.value);
-        let is_first_start = loss.is_none() && recorded.is_none() && highest_token == 0;
+        let is_first_start =
+            loss.is_none() && recorded.is_none() && highest_token == FencingToken::NONE;
         if is_first_start {
             return None;
         }
@@ -170,13 +172,13 @@
     }
 
     /// The highest fencing token that any controller knows of.
-    fn highest_known_token(&self, view: &View, snapshot: Option<&View>) -> u64 {
+    fn highest_known_token(&self, view: &View, snapshot: Option<&View>) -> FencingToken {
         let announced = view.candidates.values().map(|c| c.token).max();
         self.membership
             .cluster_status()
             .token
-            .max(snapshot.map_or(0, View::highest_token))
-            .max(announced.unwrap_or(0))
+            .max(snapshot.map_or(FencingToken::NONE, View::highest_token))
+            .max(announced.unwrap_or_default())
     }
 }
 
@@ -186,12 +188,12 @@
 fn next_token_base(
     recorded: Option<&LossRecord>,
     view: &View,
-    highest_token: u64,
+    highest_token: FencingToken,
     unix_time: u64,
 ) -> u64 {
     let base = recorded.map_or(0, |l| l.base);
-    if highest_token > base + view.revision {
-        token_base(unix_time, highest_token)
+    if highest_token > FencingToken(base + view.revision) {
+        token_base(unix_time, highest_token.0)
     } else {
         base
     }
--- a/src/state_loss/audit.rs
+++ b/src/state_loss/audit.rs
@@ -1,6 +1,7 @@
 //! Looking for evidence of a loss: keys that differ from the view, and tokens that can't have been given.
 
 use super::{CATCH_UP_TIMEOUT, StateLossRecovery};
+use crate::fencing::FencingToken;
 use crate::kv::{Lookup, Page, Urgency};
 use crate::store::{KeyKind, LossRecord, StoreKey, View, decode};
 use ravenhead_recovery::{Evidence, Finding, KeyVersion, audit};
@@ -40,8 +41,11 @@
             Err(_) => return,
         };
         let possible = base + revision;
-        if token > possible {
-            let evidence = Evidence::TokenAhead { token, possible };
+        if token > FencingToken(possible) {
+            let evidence = Evidence::TokenAhead {
+                token: token.0,
+                possible,
+            };
             self.kv.report_loss(evidence);
         }
     }
--- a/src/state_loss/follower.rs
+++ b/src/state_loss/follower.rs
@@ -4,6 +4,7 @@
 use super::plan::unknown_to;
 use super::{RETRY_PAUSE, StateLossRecovery};
 use crate::clock::sleep;
+use crate::fencing::FencingToken;
 use crate::kv::{Change, KvError, Outcome, Urgency};
 use crate::store::{CandidateRecord, StoreKey, View};
 use crate::units::Micros;
@@ -60,7 +61,7 @@
                     .membership
                     .cluster_status()
                     .token
-                    .max(snapshot.map_or(0, View::highest_token)),
+                    .max(snapshot.map_or(FencingToken::NONE, View::highest_token)),
                 lost: true,
             }
         };
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -4,6 +4,7 @@
 
 use super::keys::{InvalidKey, StoreKey};
 use crate::cloud_types::ProvisioningRequest;
+use crate::fencing::FencingToken;
 use crate::kv::{Change, Condition, LeaseId};
 use crate::scheduler::{JobEnd, JobId, MachineId, Pool};
 use serde::{Deserialize, Serialize};
@@ -95,7 +96,7 @@
     /// The revision of its view, 0 where it has none.
     pub revision: u64,
     /// The highest token that it knows.
-    pub token: u64,
+    pub token: FencingToken,
     /// Whether it has evidence of a loss after those, and waits for the rebuild.
     pub lost: bool,
 }
--- a/src/store/view.rs
+++ b/src/store/view.rs
@@ -7,6 +7,7 @@
 
 use super::keys::StoreKey;
 use super::records::{CandidateRecord, LeaderRecord, LossRecord, ProvisioningRecord};
+use crate::fencing::FencingToken;
 use crate::scheduler::{
     CachedImage, ChunkRecord, JobEnd, JobId, JobRecord, MachineId, MachineType,
 };
@@ -127,14 +128,19 @@
     }
 
     /// Returns the token of a leader that was elected at this revision.
-    pub fn token(&self, revision: u64) -> u64 {
-        self.loss.as_ref().map_or(0, |loss| loss.value.base) + revision
+    pub fn token(&self, revision: u64) -> FencingToken {
+        let base = self.loss.as_ref().map_or(0, |loss| loss.value.base);
+        FencingToken(base + revision)
     }
 
     /// Returns the highest token that was given, 0 where there was none.
-    pub fn highest_token(&self) -> u64 {
+    pub fn highest_token(&self) -> FencingToken {
         let leader = self.leader.as_ref().map_or(0, |l| l.version);
         let newest = self.term.max(leader);
-        if newest == 0 { 0 } else { self.token(newest) }
+        if newest == 0 {
+            FencingToken::NONE
+        } else {
+            self.token(newest)
+        }
     }
 }
--- a/src/term.rs
+++ b/src/term.rs
@@ -6,6 +6,7 @@
 
 use crate::clock::Clock;
 use crate::config::{Platform, Settings};
+use crate::fencing::FencingToken;
 use crate::futures::timeout;
 use crate::kv::Condition;
 use crate::scheduler::{JobId, Scheduler};
@@ -50,7 +51,7 @@
             settings.scheduler_config(platform),
             platform.teams(),
             lease.token,
-            incarnation ^ lease.token,
+            incarnation ^ lease.token.0,
             now,
         );
         inherit(&mut scheduler, view, now);
@@ -67,7 +68,7 @@
     }
 
     /// The fencing token of the term.
-    pub fn token(&self) -> u64 {
+    pub fn token(&self) -> FencingToken {
         self.lease.token
     }
 
--- a/src/term/lease.rs
+++ b/src/term/lease.rs
@@ -1,5 +1,6 @@
 //! The lease that a term hangs on, and the reasons for which a term ends.
 
+use crate::fencing::FencingToken;
 use crate::kv::LeaseId;
 use crate::units::Micros;
 use std::cell::Cell;
@@ -37,7 +38,7 @@
 /// A lease on leading, won in an election.
 pub struct LeaderLease {
     /// The fencing token.
-    pub token: u64,
+    pub token: FencingToken,
     /// The version of the leader key: the fencing token less what is added to it after a loss of stored state.
     pub revision: u64,
     /// The lease that the leader key hangs on.
@@ -51,7 +52,7 @@
 impl LeaderLease {
     /// A lease of `ttl` that was asked for at `requested_at`.
     pub fn new(
-        token: u64,
+        token: FencingToken,
         revision: u64,
         id: LeaseId,
         losses_found: u64,
@@ -70,7 +71,14 @@
     /// A lease that has expired, of a deployment that never lost stored state.
     #[cfg(test)]
     pub(crate) fn expired(token: u64, id: u64) -> LeaderLease {
-        LeaderLease::new(token, token, LeaseId(id), 0, Micros::ZERO, Micros::ZERO)
+        LeaderLease::new(
+            FencingToken(token),
+            token,
+            LeaseId(id),
+            0,
+            Micros::ZERO,
+            Micros::ZERO,
+        )
     }
 
     /// Whether nobody else can lead yet.
--- a/tests/pinned_frames.rs
+++ b/tests/pinned_frames.rs
@@ -8,6 +8,7 @@
 use async_io::block_on;
 use bitcode::{DecodeOwned, Encode};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
+use ravenhead::fencing::FencingToken;
 use ravenhead::net::{Listener, Stream};
 use ravenhead::peer::{
     Cancellation, ClusterStatus, Frame, Peer, PeerReply, PeerRequest, ResidueCleared, serve,
@@ -47,7 +48,7 @@
 
 fn known() -> ClusterStatus {
     ClusterStatus {
-        token: 4_711,
+        token: FencingToken(4_711),
         leader: Some("n-2".into()),
         state_reachable: true,
         peer_unreachable: false,
@@ -89,7 +90,7 @@
         spot: true,
         agent_epoch: 77,
         sequence: 1_234,
-        token: 4_710,
+        token: FencingToken(4_710),
         notice_s: Some(12.5),
         tasks: vec![
             task("j-1/0", 1, TaskState::Fetching, None),
@@ -145,7 +146,7 @@
 
 fn answer() -> PeerReply {
     PeerReply::Answer {
-        token: 4_711,
+        token: FencingToken(4_711),
         commands: vec![run(), stop(), clear()],
     }
 }
@@ -160,7 +161,7 @@
             (
                 "token",
                 ClusterStatus {
-                    token: 300,
+                    token: FencingToken(300),
                     ..none()
                 },
             ),
@@ -269,7 +270,7 @@
     let first = Heartbeat {
         agent_epoch: 1,
         sequence: 0,
-        token: 0,
+        token: FencingToken(0),
         ..idle.clone()
     };
     let many = (0..70).map(|n| task(&format!("j-3/{n}"), 1, TaskState::Running, None));
@@ -329,7 +330,7 @@
 #[test]
 fn frame_of_each_reply_variant_keeps_its_bytes() {
     let no_orders = PeerReply::Answer {
-        token: 0,
+        token: FencingToken(0),
         commands: Vec::new(),
     };
     assert_bytes(
--- a/tests/pinned_records.rs
+++ b/tests/pinned_records.rs
@@ -8,6 +8,7 @@
 mod support;
 
 use ravenhead::cloud::ProvisioningRequest;
+use ravenhead::fencing::FencingToken;
 use ravenhead::kv::{Change, Condition, Event, LeaseId, Page, WatchResponse};
 use ravenhead::scheduler::{
     CachedImage, ChunkRecord, JobEnd, JobId, JobOutcome, JobRecord, JobSpec, MachineId,
@@ -367,13 +368,13 @@
     let lost = CandidateRecord {
         losses: 1,
         revision: 4_711,
-        token: 1 << 33,
+        token: FencingToken(1 << 33),
         lost: true,
     };
     let nothing = CandidateRecord {
         losses: 0,
         revision: 0,
-        token: 0,
+        token: FencingToken(0),
         lost: false,
     };
     let written = [
