--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -3,6 +3,7 @@
 use crate::http::HttpRequest;
 use crate::peer::{Cancellation, ClusterStatus, Frame, PeerRequest};
 use crate::readiness::is_ready;
+use crate::revision::Revision;
 use crate::scheduler::JobId;
 use crate::scheduler::MachineId;
 use crate::term::LeaderLease;
@@ -91,7 +92,12 @@
     let m = MachineId("m-1".into());
     let lead = |node: &str| {
         let record = serde_json::json!({"node": node, "incarnation": 1, "lease": 1});
-        let put = n.shared.store.view.borrow_mut().put("r/leader", record, 7);
+        let put = n
+            .shared
+            .store
+            .view
+            .borrow_mut()
+            .put("r/leader", record, Revision(7));
         put.expect("a leader");
     };
     n.contacts.record_contact(m.clone());
@@ -164,7 +170,12 @@
     let n = Rc::new(node(14.0));
     answer_all(&n);
     let lead = serde_json::json!({"node": "n-2", "incarnation": 1, "lease": 1});
-    let put = n.shared.store.view.borrow_mut().put("r/leader", lead, 7);
+    let put = n
+        .shared
+        .store
+        .view
+        .borrow_mut()
+        .put("r/leader", lead, Revision(7));
     put.expect("a leader");
     hear_of_cancellation(&n, "j-1");
     let (status, answer) = checkin(&n, 1, 7, &["j-1", "j-2"]);
@@ -172,7 +183,12 @@
     assert_eq!(answer["orders"], stop_of("j-1"));
     // Told by the view alone it is the same, and the other job is nobody's to stop.
     let end = serde_json::json!({"how": "aborted", "at": 1, "done": 0});
-    let put = n.shared.store.view.borrow_mut().put("r/end/j-1", end, 8);
+    let put = n
+        .shared
+        .store
+        .view
+        .borrow_mut()
+        .put("r/end/j-1", end, Revision(8));
     put.expect("an end");
     assert_eq!(
         checkin(&n, 2, 7, &["j-2", "j-1"]).1["orders"],
--- a/src/election.rs
+++ b/src/election.rs
@@ -4,6 +4,7 @@
 use crate::clock::{Clock, sleep};
 use crate::kv::{Change, Condition, KvClient, KvError, LeaseId, Lookup, Outcome, Urgency};
 use crate::membership::Membership;
+use crate::revision::Revision;
 use crate::state_loss::StateLossRecovery;
 use crate::store::{LeaderRecord, StateCache, StoreKey, encode};
 use crate::term::{LeaderLease, TermEnd};
@@ -132,7 +133,7 @@
         // A loss that is to be rebuilt is written down together with who rebuilds it.
         if let Some(loss) = self.state_loss.loss_to_rebuild() {
             let view = self.store.view.borrow();
-            let version = view.loss.as_ref().map_or(0, |l| l.version);
+            let version = view.loss.as_ref().map_or(Revision::NONE, |l| l.version);
             conditions.push(StoreKey::Loss.has_version(version));
             writes.push(StoreKey::Loss.put(&loss));
         }
@@ -144,7 +145,7 @@
     }
 
     /// Writes the leader key; returns its version where that certainly succeeded.
-    async fn take_leader_key(&self, campaign: &Campaign) -> Option<u64> {
+    async fn take_leader_key(&self, campaign: &Campaign) -> Option<Revision> {
         let Campaign {
             record,
             conditions,
@@ -168,7 +169,7 @@
     /// Whether the leader key had this version before a loss of stored state.
     ///
     /// Guards against a late write of a leader from before a loss, which would find its own version of the key again.
-    fn is_revision_of_lost_leader(&self, revision: u64) -> bool {
+    fn is_revision_of_lost_leader(&self, revision: Revision) -> bool {
         let loss = self.store.loss.borrow();
         let snapshot = loss.as_ref().and_then(|loss| loss.snapshot.as_ref());
         let leader = snapshot.and_then(|view| view.leader.as_ref());
--- a/src/kv/items.rs
+++ b/src/kv/items.rs
@@ -4,6 +4,7 @@
 use super::client::KvClient;
 use super::error::KvError;
 use super::wire;
+use crate::revision::Revision;
 use http_types::Method;
 use serde::Deserialize;
 use serde_json::Value;
@@ -20,7 +21,7 @@
     /// The value.
     pub value: Value,
     /// The revision at which it was last written.
-    pub version: u64,
+    pub version: Revision,
 }
 
 /// A page of keys.
@@ -32,7 +33,7 @@
     /// Whether more follow.
     pub more: bool,
     /// The revision that the page describes.
-    pub revision: u64,
+    pub revision: Revision,
 }
 
 /// What is stored under a key.
@@ -43,7 +44,7 @@
     /// The key does not exist.
     Absent {
         /// The revision as of which it does not.
-        revision: u64,
+        revision: Revision,
     },
 }
 
@@ -61,7 +62,7 @@
         match response.status {
             200 => Ok(Lookup::Found(response.parse()?)),
             404 => {
-                let revision = response.parse::<wire::Revision>()?.revision;
+                let revision = response.parse::<wire::RevisionResponse>()?.revision;
                 self.loss_detector.observe(expected, revision);
                 Ok(Lookup::Absent { revision })
             }
--- a/src/kv/loss_detector.rs
+++ b/src/kv/loss_detector.rs
@@ -1,5 +1,6 @@
 //! Evidence that the state service lost what it held, collected from the revisions of its responses.
 
+use crate::revision::Revision;
 use event_listener::Event;
 use ravenhead_recovery::{Evidence, Expected, RevisionWatch};
 use std::cell::RefCell;
@@ -36,11 +37,11 @@
     }
 
     /// Takes in the revision of a response.
-    pub fn observe(&self, expected: Expected, revision: u64) {
+    pub fn observe(&self, expected: Expected, revision: Revision) {
         if !self.enabled {
             return;
         }
-        let evidence = self.revisions.borrow_mut().answered(expected, revision);
+        let evidence = self.revisions.borrow_mut().answered(expected, revision.0);
         if let Some(evidence) = evidence {
             self.report(evidence);
         }
--- a/src/kv/transaction.rs
+++ b/src/kv/transaction.rs
@@ -6,6 +6,7 @@
 use super::lease::LeaseId;
 use super::wire;
 use crate::clock::sleep;
+use crate::revision::Revision;
 use futures_lite::FutureExt;
 use http_types::Method;
 use serde_json::Value;
@@ -20,13 +21,16 @@
     /// The key.
     pub key: String,
     /// Its version, 0 where it must not exist.
-    pub version: u64,
+    pub version: Revision,
 }
 
 impl Condition {
     /// The condition that the key does not exist.
     pub fn absent(key: String) -> Condition {
-        Condition { key, version: 0 }
+        Condition {
+            key,
+            version: Revision::NONE,
+        }
     }
 }
 
@@ -64,7 +68,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
     /// Applied at this revision.
-    Applied(u64),
+    Applied(Revision),
     /// Not applied: these keys were at other versions.
     Conflict(Vec<String>),
 }
@@ -88,7 +92,7 @@
         let response = self.call(Method::Post, "/txn", Some(body)).await?;
         match response.status {
             200 => {
-                let revision = response.parse::<wire::Revision>()?.revision;
+                let revision = response.parse::<wire::RevisionResponse>()?.revision;
                 self.loss_detector.observe(expected, revision);
                 Ok(Outcome::Applied(revision))
             }
--- a/src/kv/watch.rs
+++ b/src/kv/watch.rs
@@ -5,6 +5,7 @@
 use super::error::KvError;
 use super::response::Response;
 use super::wire;
+use crate::revision::Revision;
 use crate::units::Micros;
 use http_types::Method;
 use serde::Deserialize;
@@ -23,14 +24,14 @@
         /// The value.
         value: Value,
         /// The revision of the write.
-        version: u64,
+        version: Revision,
     },
     /// A key was removed.
     Delete {
         /// The key.
         key: String,
         /// The revision of the removal.
-        version: u64,
+        version: Revision,
     },
 }
 
@@ -39,7 +40,7 @@
 #[serde(from = "wire::WatchResponse")]
 pub struct WatchResponse {
     /// The revision up to which no change is left out.
-    pub revision: u64,
+    pub revision: Revision,
     /// The changes, in order.
     pub events: Vec<Event>,
 }
@@ -53,7 +54,7 @@
     pub async fn watch(
         &self,
         prefix: &str,
-        from: u64,
+        from: Revision,
         wait: Micros,
     ) -> Result<WatchResponse, KvError> {
         self.budget.pace(Urgency::Paced, 0).await;
--- a/src/kv/wire.rs
+++ b/src/kv/wire.rs
@@ -3,6 +3,7 @@
 use super::error::KvError;
 use super::lease::LeaseId;
 use super::{items, transaction, watch};
+use crate::revision::Revision;
 use crate::units::Micros;
 use serde::{Deserialize, Serialize, Serializer};
 use serde_json::Value;
@@ -18,7 +19,7 @@
     #[serde(rename = "k")]
     key: &'a str,
     #[serde(rename = "stamp")]
-    version: u64,
+    version: Revision,
 }
 
 #[derive(Serialize)]
@@ -90,9 +91,9 @@
 
 /// What tells only the revision as of which it was given.
 #[derive(Deserialize)]
-pub(super) struct Revision {
+pub(super) struct RevisionResponse {
     #[serde(rename = "epoch")]
-    pub revision: u64,
+    pub revision: Revision,
 }
 
 /// A transaction whose conditions did not hold.
@@ -101,7 +102,7 @@
     #[serde(default)]
     pub failed: Vec<String>,
     #[serde(rename = "epoch")]
-    pub revision: Option<u64>,
+    pub revision: Option<Revision>,
 }
 
 /// A lease that was granted.
@@ -118,7 +119,7 @@
     #[serde(rename = "data")]
     value: Value,
     #[serde(rename = "stamp")]
-    version: u64,
+    version: Revision,
 }
 
 #[derive(Deserialize)]
@@ -126,7 +127,7 @@
     items: Vec<Item>,
     more: bool,
     #[serde(rename = "epoch")]
-    revision: u64,
+    revision: Revision,
 }
 
 #[derive(Deserialize)]
@@ -138,20 +139,20 @@
         #[serde(rename = "data")]
         value: Value,
         #[serde(rename = "stamp")]
-        version: u64,
+        version: Revision,
     },
     Delete {
         #[serde(rename = "delete")]
         key: String,
         #[serde(rename = "stamp")]
-        version: u64,
+        version: Revision,
     },
 }
 
 #[derive(Deserialize)]
 pub(super) struct WatchResponse {
     #[serde(rename = "epoch")]
-    revision: u64,
+    revision: Revision,
     #[serde(rename = "news", default)]
     events: Vec<Event>,
 }
--- a/src/kv/wire/tests.rs
+++ b/src/kv/wire/tests.rs
@@ -1,5 +1,6 @@
 use super::{grant, transaction};
 use crate::kv::{Change, Condition, LeaseId};
+use crate::revision::Revision;
 use crate::units::Micros;
 use serde_json::{Value, json};
 
@@ -9,7 +10,7 @@
     let when = [
         Condition {
             key: "r/leader".into(),
-            version: 7,
+            version: Revision(7),
         },
         Condition::absent("r/end/j-1".into()),
     ];
--- a/src/leader/commit.rs
+++ b/src/leader/commit.rs
@@ -3,6 +3,7 @@
 use super::RETRY_PAUSE;
 use crate::clock::{Clock, sleep};
 use crate::kv::{Change, Condition, KvClient, KvError, Lookup, Outcome, Urgency};
+use crate::revision::Revision;
 use crate::scheduler::{JobEnd, JobId, JobOutcome, Write};
 use crate::store::{StateCache, StoreKey, encode};
 use crate::term::{LeaderTerm, TermEnd};
@@ -74,7 +75,7 @@
     }
 
     /// A batch was applied at this revision: what it placed may be started now.
-    fn on_applied(&self, batch: &[Write], revision: u64) {
+    fn on_applied(&self, batch: &[Write], revision: Revision) {
         let mut scheduler = self.term.scheduler.borrow_mut();
         scheduler.batch_applied(batch, revision);
         for write in batch {
@@ -120,7 +121,10 @@
     }
 
     /// Returns the revision at which a batch was applied of which a try went unanswered, if it was.
-    async fn find_applied_revision(&self, attempt: &Attempt<'_>) -> Result<Option<u64>, TermEnd> {
+    async fn find_applied_revision(
+        &self,
+        attempt: &Attempt<'_>,
+    ) -> Result<Option<Revision>, TermEnd> {
         let Some(first) = attempt.batch.first() else {
             return Ok(None);
         };
@@ -170,7 +174,7 @@
 #[derive(Default)]
 struct TransactionBuilder {
     /// One version for each key, as several writes may be conditional on the same one.
-    versions: BTreeMap<String, u64>,
+    versions: BTreeMap<String, Revision>,
     changes: Vec<Change>,
 }
 
@@ -187,7 +191,7 @@
                 let key = chunk_key(job, *chunk);
                 self.require(&key, *version);
                 if *places {
-                    self.require(&end_key(job), 0);
+                    self.require(&end_key(job), Revision::NONE);
                 }
                 self.changes.push(key.put(record));
             }
@@ -211,16 +215,16 @@
     }
 
     /// Removes the one chunk of a small job, which may never have been written.
-    fn delete_only_chunk(&mut self, job: &JobId, version: u64) {
+    fn delete_only_chunk(&mut self, job: &JobId, version: Revision) {
         let key = chunk_key(job, 0);
         self.require(&key, version);
-        if version > 0 {
+        if version > Revision::NONE {
             self.changes.push(key.delete());
         }
     }
 
     /// Removes chunks of a job that has ended, by number and version, and with the last of them its submission.
-    fn forget(&mut self, job: &JobId, chunks: &[(u32, u64)], is_last: bool) {
+    fn forget(&mut self, job: &JobId, chunks: &[(u32, Revision)], is_last: bool) {
         for (chunk, version) in chunks {
             let key = chunk_key(job, *chunk);
             self.require(&key, *version);
@@ -234,11 +238,11 @@
     /// Adds the end of a job that is done, which must not have ended before.
     fn add_end(&mut self, job: &JobId, tasks: u32, at: u64) {
         let key = end_key(job);
-        self.require(&key, 0);
+        self.require(&key, Revision::NONE);
         self.changes.push(key.put(&done_record(tasks, at)));
     }
 
-    fn require(&mut self, key: &StoreKey, version: u64) {
+    fn require(&mut self, key: &StoreKey, version: Revision) {
         self.versions.insert(key.to_string(), version);
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,6 +26,7 @@
 pub mod peer;
 pub mod peer_pinger;
 pub mod readiness;
+pub mod revision;
 pub mod scheduler;
 pub mod state_loss;
 pub mod store;
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -4,6 +4,7 @@
 use super::job_spec::JobSpec;
 use super::messages::TaskState;
 use super::records::{CHUNK_SIZE, ChunkRecord, JobEnd};
+use crate::revision::Revision;
 use crate::units::Micros;
 use ravenhead_recovery::{HeartbeatPosition, Origin, RecordedTask};
 use std::collections::{BTreeMap, BTreeSet};
@@ -76,7 +77,7 @@
     /// Tasks that may be on a machine.
     pub live: BTreeMap<u8, Placement>,
     /// The key's version, 0 where it is not yet written.
-    pub version: u64,
+    pub version: Revision,
     /// Whether there is something to write.
     pub dirty: bool,
     /// Since when there is.
@@ -104,7 +105,7 @@
     }
 
     /// A chunk as an earlier leader left it.
-    pub fn inherit(record: &ChunkRecord, version: u64) -> Chunk {
+    pub fn inherit(record: &ChunkRecord, version: Revision) -> Chunk {
         let live = record.live.iter().map(|(i, machine, attempt)| {
             let placement = Placement {
                 machine: machine.clone(),
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -47,6 +47,7 @@
 pub use writes::Write;
 
 use crate::fencing::FencingToken;
+use crate::revision::Revision;
 use crate::units::{Micros, Resources};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
@@ -243,7 +244,7 @@
         &mut self,
         record: &JobRecord,
         end: Option<JobEnd>,
-        chunks: impl Iterator<Item = (u32, ChunkRecord, u64)>,
+        chunks: impl Iterator<Item = (u32, ChunkRecord, Revision)>,
         now: Micros,
     ) {
         let id = record.spec.id.clone();
--- a/src/scheduler/scenarios/commands.rs
+++ b/src/scheduler/scenarios/commands.rs
@@ -234,7 +234,7 @@
             }
         }
         assert!(batch.len() <= 20 && bytes < 60 * 1024, "{bytes} bytes");
-        t.revision += 1;
+        t.revision.0 += 1;
         t.s.batch_applied(&batch, t.revision);
     }
 }
@@ -348,7 +348,7 @@
     t.s.on_heartbeat(&stopped, "n-1", t.now);
     let urgent = t.s.next_batch(20, 36_000, true);
     assert!(matches!(urgent[..], [Write::Chunk { .. }]), "{urgent:?}");
-    t.revision += 1;
+    t.revision.0 += 1;
     t.s.batch_applied(&urgent, t.revision);
     assert!(matches!(
         t.s.next_batch(20, 36_000, false)[..],
--- a/src/scheduler/scenarios/latency_sensitive.rs
+++ b/src/scheduler/scenarios/latency_sensitive.rs
@@ -226,7 +226,7 @@
         matches!(&batch[..], [Write::Chunk { record, .. }] if record.finished == 0b11),
         "{batch:?}"
     );
-    t.revision += 1;
+    t.revision.0 += 1;
     t.s.batch_applied(&batch, t.revision);
     finish(&mut t, 2);
     let batch = t.s.next_batch(20, 36_000, true);
--- a/src/scheduler/scenarios/mod.rs
+++ b/src/scheduler/scenarios/mod.rs
@@ -15,6 +15,7 @@
     SchedulerConfig, Shape, TaskState, TaskStatus, TeamQuota, Write,
 };
 use crate::fencing::FencingToken;
+use crate::revision::Revision;
 use crate::units::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -107,8 +108,8 @@
 struct Scenario {
     s: Scheduler,
     now: Micros,
-    revision: u64,
-    chunks: BTreeMap<(JobId, u32), (ChunkRecord, u64)>,
+    revision: Revision,
+    chunks: BTreeMap<(JobId, u32), (ChunkRecord, Revision)>,
     records: BTreeMap<JobId, JobRecord>,
     done: BTreeSet<JobId>,
     images: BTreeMap<MachineId, Vec<CachedImage>>,
@@ -198,7 +199,7 @@
         Scenario {
             s,
             now,
-            revision: 100,
+            revision: Revision(100),
             chunks: BTreeMap::new(),
             records: BTreeMap::new(),
             done: BTreeSet::new(),
@@ -226,10 +227,10 @@
 
     fn submit(&mut self, spec: JobSpec) -> JobId {
         let id = spec.id.clone();
-        self.revision += 1;
+        self.revision.0 += 1;
         let record = JobRecord {
             spec: Rc::new(spec),
-            at: self.revision,
+            at: self.revision.0,
         };
         self.s.add_job(&record, None, std::iter::empty(), self.now);
         self.records.insert(id.clone(), record);
@@ -259,7 +260,7 @@
             if batch.is_empty() {
                 return;
             }
-            self.revision += 1;
+            self.revision.0 += 1;
             for write in &batch {
                 match write {
                     Write::Chunk {
@@ -270,7 +271,7 @@
                         ..
                     } => {
                         let key = (job.clone(), *chunk);
-                        let before = self.chunks.get(&key).map_or(0, |(_, v)| *v);
+                        let before = self.chunks.get(&key).map_or(Revision::NONE, |(_, v)| *v);
                         assert_eq!(before, *version, "a write must replace what was read");
                         self.chunks.insert(key, (record.clone(), self.revision));
                     }
@@ -279,7 +280,7 @@
                     }
                     Write::Whole { job, version, .. } => {
                         let chunk = self.chunks.remove(&(job.clone(), 0));
-                        let before = chunk.map_or(0, |(_, v)| v);
+                        let before = chunk.map_or(Revision::NONE, |(_, v)| v);
                         assert_eq!(before, *version, "a write must replace what was read");
                         self.records.remove(job);
                         self.done.insert(job.clone());
--- a/src/scheduler/scenarios/queue_order.rs
+++ b/src/scheduler/scenarios/queue_order.rs
@@ -192,7 +192,7 @@
     assert!(t.s.offers_made <= max_offers, "{} offers", t.s.offers_made);
     t.commit();
     // Twenty jobs' placements go into one transaction.
-    let batches = t.revision - before;
+    let batches = t.revision.0 - before.0;
     assert!(batches <= 1_600 / 20 + 1, "{batches} batches");
     for _ in 0..8 {
         t.wait(1);
--- a/src/scheduler/writes.rs
+++ b/src/scheduler/writes.rs
@@ -8,6 +8,7 @@
 use super::job_spec::Priority;
 use super::machine::CachedImage;
 use super::records::{CHUNK_SIZE, ChunkRecord};
+use crate::revision::Revision;
 use crate::units::Micros;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
@@ -31,7 +32,7 @@
         /// Its record.
         record: ChunkRecord,
         /// The version that it replaces.
-        version: u64,
+        version: Revision,
         /// Whether tasks are newly placed by it, so that the job must not be over.
         places: bool,
     },
@@ -49,7 +50,7 @@
         /// Its number of tasks.
         tasks: u32,
         /// The version of its chunk, which goes.
-        version: u64,
+        version: Revision,
     },
     /// The images that a machine has, for the next leader; none: the machine is gone.
     Images {
@@ -63,7 +64,7 @@
         /// The job.
         job: JobId,
         /// Its chunks with their versions.
-        chunks: Vec<(u32, u64)>,
+        chunks: Vec<(u32, Revision)>,
         /// Whether these are the last ones, so that the submission's record goes as well.
         whole: bool,
     },
@@ -74,7 +75,7 @@
     pub fn ops(&self) -> usize {
         match self {
             Write::Chunk { .. } | Write::Done { .. } | Write::Images { .. } => 1,
-            Write::Whole { version, .. } => 2 + usize::from(*version > 0),
+            Write::Whole { version, .. } => 2 + usize::from(*version > Revision::NONE),
             Write::Forget { chunks, whole, .. } => chunks.len() + usize::from(*whole),
         }
     }
@@ -329,10 +330,10 @@
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
-            let mut chunks: Vec<(u32, u64)> = job
+            let mut chunks: Vec<(u32, Revision)> = job
                 .chunks
                 .iter()
-                .filter(|(_, c)| c.version > 0)
+                .filter(|(_, c)| c.version > Revision::NONE)
                 .map(|(n, c)| (*n, c.version))
                 .collect();
             // A large job's chunks go in several steps; its own record goes last.
@@ -352,7 +353,7 @@
     }
 
     /// A batch was applied at this revision.
-    pub fn batch_applied(&mut self, batch: &[Write], version: u64) {
+    pub fn batch_applied(&mut self, batch: &[Write], version: Revision) {
         for write in batch {
             match write {
                 Write::Chunk {
@@ -371,7 +372,7 @@
         }
     }
 
-    fn chunk_applied(&mut self, id: &JobId, number: u32, record: &ChunkRecord, version: u64) {
+    fn chunk_applied(&mut self, id: &JobId, number: u32, record: &ChunkRecord, version: Revision) {
         let Some(chunk) = self
             .jobs
             .get_mut(id)
@@ -390,7 +391,7 @@
         }
     }
 
-    fn forget_applied(&mut self, id: &JobId, chunks: &[(u32, u64)], whole: bool) {
+    fn forget_applied(&mut self, id: &JobId, chunks: &[(u32, Revision)], whole: bool) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
--- a/src/state_loss.rs
+++ b/src/state_loss.rs
@@ -126,13 +126,13 @@
         }
         let own = Candidate {
             losses: loss.losses(),
-            revision: loss.revision(),
+            revision: loss.revision().0,
             node: self.membership.node().to_owned(),
         };
         let view = self.store.view.borrow();
         let all = view.candidates.iter().map(|(node, c)| Candidate {
             losses: c.losses,
-            revision: c.revision,
+            revision: c.revision.0,
             node: node.clone(),
         });
         let all: Vec<Candidate> = all.collect();
@@ -192,7 +192,7 @@
     unix_time: u64,
 ) -> u64 {
     let base = recorded.map_or(0, |l| l.base);
-    if highest_token > FencingToken(base + view.revision) {
+    if highest_token > FencingToken(base + view.revision.0) {
         token_base(unix_time, highest_token.0)
     } else {
         base
--- a/src/state_loss/audit.rs
+++ b/src/state_loss/audit.rs
@@ -3,6 +3,7 @@
 use super::{CATCH_UP_TIMEOUT, StateLossRecovery};
 use crate::fencing::FencingToken;
 use crate::kv::{Lookup, Page, Urgency};
+use crate::revision::Revision;
 use crate::store::{KeyKind, LossRecord, StoreKey, View, decode};
 use ravenhead_recovery::{Evidence, Finding, KeyVersion, audit};
 
@@ -40,7 +41,7 @@
             Ok(Lookup::Absent { revision }) => (0, revision),
             Err(_) => return,
         };
-        let possible = base + revision;
+        let possible = base + revision.0;
         if token > FencingToken(possible) {
             let evidence = Evidence::TokenAhead {
                 token: token.0,
@@ -71,7 +72,9 @@
         match self.compare(kind, &place.from, end.as_deref(), &page) {
             Finding::Same => {}
             Finding::Lost(evidence) => self.kv.report_loss(evidence),
-            Finding::Unseen { key, version } => self.check_unseen(kind, key, version).await,
+            Finding::Unseen { key, version } => {
+                self.check_unseen(kind, key, Revision(version)).await;
+            }
         }
         match end {
             Some(from) => AuditPlace { from, ..place },
@@ -89,32 +92,35 @@
         let known = known.iter().filter(|(key, _)| is_in_page(key));
         let known = known.map(|(key, version)| KeyVersion {
             key,
-            version: *version,
+            version: version.0,
         });
         let listed = page.items.iter().map(|item| KeyVersion {
             key: &item.key,
-            version: item.version,
+            version: item.version.0,
         });
-        audit(known, listed, page.revision)
+        audit(known, listed, page.revision.0)
     }
 
     /// A key was listed that the view did not have: whether it is still there, and the view still lacks it.
-    async fn check_unseen(&self, kind: KeyKind, key: String, version: u64) {
+    async fn check_unseen(&self, kind: KeyKind, key: String, version: Revision) {
         let Ok(Lookup::Found(item)) = self.kv.get(Urgency::Paced, &key).await else {
             return;
         };
         let view = self.store.view.borrow();
         let is_seen = view.versions(kind).iter().any(|(k, _)| *k == key);
         if item.version == version && !is_seen {
-            self.kv.report_loss(Evidence::RecordUnseen { key, version });
+            self.kv.report_loss(Evidence::RecordUnseen {
+                key,
+                version: version.0,
+            });
         }
     }
 }
 
 impl View {
     /// Returns the keys of a kind, in order, with the revisions of their last changes.
-    fn versions(&self, kind: KeyKind) -> Vec<(String, u64)> {
-        let mut versions: Vec<(String, u64)> = match kind {
+    fn versions(&self, kind: KeyKind) -> Vec<(String, Revision)> {
+        let mut versions: Vec<(String, Revision)> = match kind {
             KeyKind::Job => {
                 let jobs = self.jobs.iter();
                 jobs.map(|(id, job)| (StoreKey::Job(id.clone()).to_string(), job.version))
--- a/src/state_loss/plan.rs
+++ b/src/state_loss/plan.rs
@@ -1,6 +1,7 @@
 //! What has to be written to rebuild: what a snapshot has and the stored state lacks.
 
 use super::StateLossRecovery;
+use crate::revision::Revision;
 use crate::scheduler::{JobEnd, JobId, JobOutcome};
 use crate::store::{ArchivedEnd, StoreKey, View, encode};
 use ravenhead_recovery::{Restore, Stored, missing};
@@ -76,13 +77,23 @@
 
 /// A key that is written only where there is none: its version replaces nothing.
 fn new_record(key: &StoreKey, record: &impl Serialize) -> (String, Stored<Value>) {
-    stored_record(key, record, 1)
+    stored_record(key, record, Revision(1))
 }
 
 /// A key as it is stored.
-fn stored_record(key: &StoreKey, record: &impl Serialize, version: u64) -> (String, Stored<Value>) {
+fn stored_record(
+    key: &StoreKey,
+    record: &impl Serialize,
+    version: Revision,
+) -> (String, Stored<Value>) {
     let value = encode(record);
-    (key.to_string(), Stored { value, version })
+    (
+        key.to_string(),
+        Stored {
+            value,
+            version: version.0,
+        },
+    )
 }
 
 /// Keys in batches that a transaction holds.
--- a/src/state_loss/restore.rs
+++ b/src/state_loss/restore.rs
@@ -4,6 +4,7 @@
 use super::{CATCH_UP_TIMEOUT, RETRY_PAUSE, StateLossRecovery};
 use crate::clock::sleep;
 use crate::kv::{Change, Condition, MAX_BATCH_BYTES, Outcome, Urgency};
+use crate::revision::Revision;
 use crate::store::{LossRecord, StoreKey, encode};
 use crate::term::{LeaderLease, TermEnd};
 use log::{debug, info};
@@ -57,7 +58,7 @@
             let done = [Restore {
                 key: StoreKey::Loss.to_string(),
                 value: encode(&record),
-                replaces: found.version,
+                replaces: found.version.0,
             }];
             if self.write(lease, &done).await? {
                 return Ok(());
@@ -70,7 +71,7 @@
         let leader = StoreKey::Leader.has_version(lease.revision);
         let conditions = keys.iter().map(|restore| Condition {
             key: restore.key.clone(),
-            version: restore.replaces,
+            version: Revision(restore.replaces),
         });
         let when: Vec<Condition> = conditions.chain([leader]).collect();
         let puts = keys
--- a/src/store/follow.rs
+++ b/src/store/follow.rs
@@ -9,6 +9,7 @@
 use crate::clock::sleep;
 use crate::futures::timeout;
 use crate::kv::{Event as KeyEvent, Item, KvError};
+use crate::revision::Revision;
 use crate::units::Micros;
 use futures_lite::FutureExt;
 use log::{debug, info, warn};
@@ -44,7 +45,7 @@
         let mut from = String::new();
         loop {
             let page = self.kv.list(PREFIX, &from).await?;
-            if view.revision == 0 {
+            if view.revision == Revision::NONE {
                 view.revision = page.revision;
             }
             for item in page.items {
@@ -99,7 +100,7 @@
         pause.or(requested).await;
     }
 
-    fn apply(&self, revision: u64, events: Vec<KeyEvent>) {
+    fn apply(&self, revision: Revision, events: Vec<KeyEvent>) {
         let mut changes = Vec::new();
         let mut view = self.view.borrow_mut();
         for event in events {
@@ -135,7 +136,7 @@
     /// Waits until the view holds every change up to this revision; returns `false` if it does not within `limit`.
     ///
     /// Ends the pause before the next watch, so that the wait takes no longer than the watch's response.
-    pub async fn wait_for_revision(&self, revision: u64, limit: Micros) -> bool {
+    pub async fn wait_for_revision(&self, revision: Revision, limit: Micros) -> bool {
         let wait = async {
             loop {
                 let changed = self.changed.listen();
--- a/src/store/loss.rs
+++ b/src/store/loss.rs
@@ -3,6 +3,7 @@
 use super::StateCache;
 use super::view::View;
 use crate::kv::Change;
+use crate::revision::Revision;
 use crate::units::Micros;
 use log::warn;
 use ravenhead_recovery::Evidence;
@@ -24,8 +25,10 @@
     }
 
     /// Returns the revision of the snapshot, 0 where there is none.
-    pub fn revision(&self) -> u64 {
-        self.snapshot.as_ref().map_or(0, |view| view.revision)
+    pub fn revision(&self) -> Revision {
+        self.snapshot
+            .as_ref()
+            .map_or(Revision::NONE, |view| view.revision)
     }
 
     /// Returns whether a view that was lost later still lacked what this loss took away.
@@ -48,7 +51,7 @@
 
 /// A write that this controller committed.
 struct OwnCommit {
-    revision: u64,
+    revision: Revision,
     key: String,
     value: Value,
 }
@@ -64,7 +67,7 @@
 
 impl OwnCommits {
     /// Keeps writes committed at `revision`, and forgets those up to the revision that the view shows.
-    fn record(&self, revision: u64, changes: &[Change], shown: u64) {
+    fn record(&self, revision: Revision, changes: &[Change], shown: Revision) {
         let mut commits = self.commits.borrow_mut();
         commits.retain(|c| c.revision > shown);
         let puts = changes.iter().filter_map(|change| match change {
@@ -105,7 +108,7 @@
     }
 
     /// Notes that this controller committed changes at this revision, to be written again if they are lost.
-    pub fn record_commits(&self, revision: u64, changes: &[Change]) {
+    pub fn record_commits(&self, revision: Revision, changes: &[Change]) {
         if self.kv.detects_loss() {
             let shown = self.view.borrow().revision;
             self.own_commits.record(revision, changes, shown);
@@ -120,7 +123,9 @@
         warn!(
             "event=state_lost evidence={:?} snapshot_revision={}",
             evidence.to_string(),
-            snapshot.as_ref().map_or(0, |view| view.revision)
+            snapshot
+                .as_ref()
+                .map_or(Revision::NONE, |view| view.revision)
         );
         self.losses_found.set(self.losses_found.get() + 1);
         let snapshot = match self.loss.take() {
--- a/src/store/loss/tests.rs
+++ b/src/store/loss/tests.rs
@@ -1,5 +1,6 @@
 use super::{Loss, OwnCommits};
 use crate::kv::Change;
+use crate::revision::Revision;
 use crate::scheduler::JobId;
 use crate::store::{StoreKey, View};
 use crate::units::Micros;
@@ -18,12 +19,12 @@
     let mut view = View::default();
     for job in jobs {
         let key = StoreKey::JobEnd(id(job)).to_string();
-        view.put(&key, end(), 1).expect("an end");
+        view.put(&key, end(), Revision(1)).expect("an end");
     }
     if losses > 0 {
         let loss =
             json!({"number": losses, "base": 0, "at": 1, "restored": restored, "confirmed": false});
-        view.put("r/loss", loss, 2).expect("a loss");
+        view.put("r/loss", loss, Revision(2)).expect("a loss");
     }
     view.loaded = true;
     view
@@ -45,11 +46,11 @@
 fn own_commits_that_the_view_lacks_are_added_to_it() {
     let commits = OwnCommits::default();
     let commit = |job: &str| [Change::put(StoreKey::JobEnd(id(job)).to_string(), end())];
-    commits.record(5, &commit("j-5"), 0);
-    commits.record(6, &commit("j-6"), 5);
-    commits.record(7, &commit("j-7"), 5);
+    commits.record(Revision(5), &commit("j-5"), Revision(0));
+    commits.record(Revision(6), &commit("j-6"), Revision(5));
+    commits.record(Revision(7), &commit("j-7"), Revision(5));
     let mut lost = view(&[], 0, false);
-    lost.revision = 6;
+    lost.revision = Revision(6);
     commits.apply_to(&mut lost);
     assert!(!lost.knows(&id("j-5")) && !lost.knows(&id("j-6")));
     assert!(lost.knows(&id("j-7")));
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -6,6 +6,7 @@
 use crate::cloud_types::ProvisioningRequest;
 use crate::fencing::FencingToken;
 use crate::kv::{Change, Condition, LeaseId};
+use crate::revision::Revision;
 use crate::scheduler::{JobEnd, JobId, MachineId, Pool};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -67,7 +68,7 @@
     }
 
     /// The condition that the key was last written at this revision, or does not exist where it is 0.
-    pub fn has_version(&self, version: u64) -> Condition {
+    pub fn has_version(&self, version: Revision) -> Condition {
         let key = self.to_string();
         Condition { key, version }
     }
@@ -94,7 +95,7 @@
     /// The losses that were rebuilt before its view: of these it has nothing more to add.
     pub losses: u64,
     /// The revision of its view, 0 where it has none.
-    pub revision: u64,
+    pub revision: Revision,
     /// The highest token that it knows.
     pub token: FencingToken,
     /// Whether it has evidence of a loss after those, and waits for the rebuild.
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -1,6 +1,7 @@
 use super::keys::{InvalidKey, KeyKind, StoreKey};
 use super::records::{InvalidRecord, ProvisioningRecord};
 use super::view::View;
+use crate::revision::Revision;
 use crate::scheduler::{ChunkRecord, JobEnd, JobId, JobRecord, MachineId, MachineType};
 use serde_json::{Value, json};
 
@@ -19,19 +20,25 @@
 fn job_is_pending_then_running_then_done_for_ever() {
     let mut view = View::default();
     assert_eq!(view.status(&id("j-1")), None);
-    view.put("r/job/j-1", job("j-1"), 5).expect("a job");
+    view.put("r/job/j-1", job("j-1"), Revision(5))
+        .expect("a job");
     assert_eq!(view.status(&id("j-1")).map(|s| s.status), Some("pending"));
     let chunk = json!({"f": "1", "a": 2, "l": [[1, "m-1", 2]]});
-    view.put("r/run/j-1/00000", chunk, 6).expect("a chunk");
+    view.put("r/run/j-1/00000", chunk, Revision(6))
+        .expect("a chunk");
     let status = view.status(&id("j-1")).expect("known");
     assert_eq!(
         (status.status, status.done, status.running),
         ("running", 1, 1)
     );
-    view.put("r/end/j-1", json!({"how": "done", "at": 9, "done": 3}), 7)
-        .expect("an end");
-    view.delete("r/run/j-1/00000", 8);
-    view.delete("r/job/j-1", 8);
+    view.put(
+        "r/end/j-1",
+        json!({"how": "done", "at": 9, "done": 3}),
+        Revision(7),
+    )
+    .expect("an end");
+    view.delete("r/run/j-1/00000", Revision(8));
+    view.delete("r/job/j-1", Revision(8));
     let status = view.status(&id("j-1")).expect("known for ever");
     assert_eq!((status.status, status.done), ("done", 3));
     assert!(view.chunks.is_empty() && view.jobs.is_empty());
@@ -42,24 +49,28 @@
 fn stale_removal_does_not_undo_newer_write() {
     let mut view = View::default();
     let leader = json!({"node": "n-1", "incarnation": 4, "lease": 3});
-    view.put("r/leader", leader, 12).expect("a leader");
-    view.delete("r/leader", 9);
-    assert_eq!(view.leader.as_ref().map(|l| l.version), Some(12));
-    view.delete("r/leader", 13);
+    view.put("r/leader", leader, Revision(12))
+        .expect("a leader");
+    view.delete("r/leader", Revision(9));
+    assert_eq!(view.leader.as_ref().map(|l| l.version), Some(Revision(12)));
+    view.delete("r/leader", Revision(13));
     assert!(view.leader.is_none());
 }
 
 #[test]
 fn invalid_keys_and_values_are_refused_without_harm() {
     let mut view = View::default();
-    assert!(view.put("q/other", json!(1), 1).is_err());
-    assert!(view.put("r/job/../x", json!(1), 1).is_err());
-    assert!(view.put("r/job/j-1", json!({"spec": 3}), 1).is_err());
+    assert!(view.put("q/other", json!(1), Revision(1)).is_err());
+    assert!(view.put("r/job/../x", json!(1), Revision(1)).is_err());
     assert!(
-        view.put("r/run/j-1/00000", json!({"f": "zz", "a": 1}), 1)
+        view.put("r/job/j-1", json!({"spec": 3}), Revision(1))
             .is_err()
     );
-    view.delete("r/run/j-1", 3);
+    assert!(
+        view.put("r/run/j-1/00000", json!({"f": "zz", "a": 1}), Revision(1))
+            .is_err()
+    );
+    view.delete("r/run/j-1", Revision(3));
     assert!(!view.knows(&id("j-1")));
 }
 
@@ -133,7 +144,8 @@
 #[test]
 fn invalid_records_say_why() {
     let mut view = View::default();
-    let mut refused = |key: &str, value: Value| view.put(key, value, 1).expect_err("an error");
+    let mut refused =
+        |key: &str, value: Value| view.put(key, value, Revision(1)).expect_err("an error");
     let keys = [
         ("q/other", InvalidKey::Foreign, "foreign key"),
         ("r/job/../x", InvalidKey::JobId, "bad job id"),
@@ -162,12 +174,13 @@
 #[test]
 fn keys_of_parts_are_read_whatever_their_number() {
     let mut view = View::default();
-    let contacts = view.put("r/heard/n-1", json!(["m-1"]), 1);
+    let contacts = view.put("r/heard/n-1", json!(["m-1"]), Revision(1));
     assert!(contacts.expect("contacts").is_some());
     let end = json!({"job": "j-1", "end": {"how": "done", "at": 9, "done": 3}});
-    view.put("r/ends/old", json!([end]), 2).expect("an archive");
+    view.put("r/ends/old", json!([end]), Revision(2))
+        .expect("an archive");
     assert!(view.end(&id("j-1")).is_some());
-    assert!(view.put("r/ends/odd", json!(1), 3).is_err());
+    assert!(view.put("r/ends/odd", json!(1), Revision(3)).is_err());
     assert_eq!(
         view.archives, 2,
         "one that can't be read has its number taken"
--- a/src/store/view.rs
+++ b/src/store/view.rs
@@ -8,6 +8,7 @@
 use super::keys::StoreKey;
 use super::records::{CandidateRecord, LeaderRecord, LossRecord, ProvisioningRecord};
 use crate::fencing::FencingToken;
+use crate::revision::Revision;
 use crate::scheduler::{
     CachedImage, ChunkRecord, JobEnd, JobId, JobRecord, MachineId, MachineType,
 };
@@ -19,7 +20,7 @@
     /// The value.
     pub value: T,
     /// The revision at which it was written.
-    pub version: u64,
+    pub version: Revision,
 }
 
 /// What a change of the view means to those who act on it.
@@ -42,7 +43,7 @@
 #[derive(Debug, Default)]
 pub struct View {
     /// The revision up to which all changes are in.
-    pub revision: u64,
+    pub revision: Revision,
     /// Whether all keys were listed once.
     pub loaded: bool,
     /// Accepted jobs.
@@ -64,7 +65,7 @@
     /// Who leads; the version is the token.
     pub leader: Option<Versioned<LeaderRecord>>,
     /// The revision of the last election.
-    pub term: u64,
+    pub term: Revision,
     /// Recent provisioning requests by their names.
     pub provisioning: BTreeMap<String, ProvisioningRecord>,
     /// The machine types.
@@ -124,20 +125,20 @@
 
     /// Returns whether a leader was ever elected.
     pub(super) fn has_had_leader(&self) -> bool {
-        self.term != 0
+        self.term != Revision::NONE
     }
 
     /// Returns the token of a leader that was elected at this revision.
-    pub fn token(&self, revision: u64) -> FencingToken {
+    pub fn token(&self, revision: Revision) -> FencingToken {
         let base = self.loss.as_ref().map_or(0, |loss| loss.value.base);
-        FencingToken(base + revision)
+        FencingToken(base + revision.0)
     }
 
     /// Returns the highest token that was given, 0 where there was none.
     pub fn highest_token(&self) -> FencingToken {
-        let leader = self.leader.as_ref().map_or(0, |l| l.version);
+        let leader = self.leader.as_ref().map_or(Revision::NONE, |l| l.version);
         let newest = self.term.max(leader);
-        if newest == 0 {
+        if newest == Revision::NONE {
             FencingToken::NONE
         } else {
             self.token(newest)
--- a/src/store/view/apply.rs
+++ b/src/store/view/apply.rs
@@ -1,6 +1,7 @@
 //! Changes of the view: keys written and removed, and what another view adds.
 
 use super::{Versioned, View, ViewChange};
+use crate::revision::Revision;
 use crate::scheduler::{ChunkRecord, JobEnd, JobId, JobRecord};
 use crate::store::keys::{InvalidKey, StoreKey};
 use crate::store::records::{ArchivedEnd, InvalidRecord, decode};
@@ -8,11 +9,11 @@
 use serde_json::Value;
 
 /// The version of ends that stand in archives: no listing of single ends has them.
-const ARCHIVED: u64 = u64::MAX;
+const ARCHIVED: Revision = Revision(u64::MAX);
 
 fn versioned<T: for<'a> Deserialize<'a>>(
     value: Value,
-    version: u64,
+    version: Revision,
 ) -> Result<Versioned<T>, InvalidRecord> {
     let value = decode(value)?;
     Ok(Versioned { value, version })
@@ -28,7 +29,7 @@
         &mut self,
         key: &str,
         value: Value,
-        version: u64,
+        version: Revision,
     ) -> Result<Option<ViewChange>, InvalidRecord> {
         match StoreKey::parse(key)? {
             StoreKey::Job(id) => {
@@ -96,7 +97,7 @@
     ///
     /// Guards against a watch that begins before a listing: its older removals must not undo newer writes. Keys of other
     /// kinds are never removed by this service, and their removal is ignored.
-    pub fn delete(&mut self, key: &str, version: u64) {
+    pub fn delete(&mut self, key: &str, version: Revision) {
         match StoreKey::parse(key) {
             Ok(StoreKey::Job(id)) => self.delete_job(&id, version),
             Ok(StoreKey::Chunk { job, chunk }) => self.delete_chunk(&job, chunk, version),
@@ -107,7 +108,7 @@
         }
     }
 
-    fn delete_job(&mut self, id: &JobId, version: u64) {
+    fn delete_job(&mut self, id: &JobId, version: Revision) {
         if self.jobs.get(id).is_some_and(|j| j.version <= version) {
             self.jobs.remove(id);
             if self.ends.contains_key(id) {
@@ -116,7 +117,7 @@
         }
     }
 
-    fn delete_chunk(&mut self, job: &JobId, chunk: u32, version: u64) {
+    fn delete_chunk(&mut self, job: &JobId, chunk: u32, version: Revision) {
         if let Some(chunks) = self.chunks.get_mut(job) {
             if chunks.get(&chunk).is_some_and(|c| c.version <= version) {
                 chunks.remove(&chunk);
--- a/src/term/lease.rs
+++ b/src/term/lease.rs
@@ -2,6 +2,7 @@
 
 use crate::fencing::FencingToken;
 use crate::kv::LeaseId;
+use crate::revision::Revision;
 use crate::units::Micros;
 use std::cell::Cell;
 use thiserror::Error;
@@ -40,7 +41,7 @@
     /// The fencing token.
     pub token: FencingToken,
     /// The version of the leader key: the fencing token less what is added to it after a loss of stored state.
-    pub revision: u64,
+    pub revision: Revision,
     /// The lease that the leader key hangs on.
     pub id: LeaseId,
     /// Losses of stored state that this process had found by then.
@@ -53,7 +54,7 @@
     /// A lease of `ttl` that was asked for at `requested_at`.
     pub fn new(
         token: FencingToken,
-        revision: u64,
+        revision: Revision,
         id: LeaseId,
         losses_found: u64,
         requested_at: Micros,
@@ -73,7 +74,7 @@
     pub(crate) fn expired(token: u64, id: u64) -> LeaderLease {
         LeaderLease::new(
             FencingToken(token),
-            token,
+            Revision(token),
             LeaseId(id),
             0,
             Micros::ZERO,
--- a/src/term/lease/tests.rs
+++ b/src/term/lease/tests.rs
@@ -1,10 +1,18 @@
 use super::{LeaderLease, TermEnd};
 use crate::fencing::FencingToken;
 use crate::kv::LeaseId;
+use crate::revision::Revision;
 use crate::units::Micros;
 
 fn lease(requested_at: Micros, ttl: Micros) -> LeaderLease {
-    LeaderLease::new(FencingToken(7), 7, LeaseId(1), 0, requested_at, ttl)
+    LeaderLease::new(
+        FencingToken(7),
+        Revision(7),
+        LeaseId(1),
+        0,
+        requested_at,
+        ttl,
+    )
 }
 
 // Guards against a leader whose clock is slow acting on a lease that has expired at the state service.
--- a/tests/pinned_records.rs
+++ b/tests/pinned_records.rs
@@ -10,6 +10,7 @@
 use ravenhead::cloud::ProvisioningRequest;
 use ravenhead::fencing::FencingToken;
 use ravenhead::kv::{Change, Condition, Event, LeaseId, Page, WatchResponse};
+use ravenhead::revision::Revision;
 use ravenhead::scheduler::{
     CachedImage, ChunkRecord, JobEnd, JobId, JobOutcome, JobRecord, JobSpec, MachineId,
     MachineType, Priority, Shape,
@@ -27,7 +28,7 @@
 
 const FIXTURE: &str = include_str!("fixtures/pinned/records.txt");
 const EARLIER: &str = include_str!("fixtures/pinned/records-of-earlier-releases.txt");
-const VERSION: u64 = 9;
+const VERSION: Revision = Revision(9);
 
 /// A record as it is written: the name in the fixture, the key and the value.
 type Written<T> = (&'static str, String, T);
@@ -367,13 +368,13 @@
 fn candidates_keep_their_keys_and_bytes() {
     let lost = CandidateRecord {
         losses: 1,
-        revision: 4_711,
+        revision: Revision(4_711),
         token: FencingToken(1 << 33),
         lost: true,
     };
     let nothing = CandidateRecord {
         losses: 0,
-        revision: 0,
+        revision: Revision(0),
         token: FencingToken(0),
         lost: false,
     };
@@ -445,7 +446,7 @@
     let absent = Condition::absent(end_key(&job("j-1")));
     let unchanged = Condition {
         key: StoreKey::Leader.to_string(),
-        version: 4_711,
+        version: Revision(4_711),
     };
     let made = [
         ("prefix", text(&|| to_string(PREFIX))),
@@ -507,16 +508,19 @@
     let page: Page = from_str(answer("answer/page ")).expect("a page");
     assert_eq!(
         (page.more, page.revision, page.items.len()),
-        (true, 4_711, 1)
+        (true, Revision(4_711), 1)
     );
     let item = &page.items[0];
-    assert_eq!((item.key.as_str(), item.version), ("r/end/j-1", 12));
+    assert_eq!(
+        (item.key.as_str(), item.version),
+        ("r/end/j-1", Revision(12))
+    );
     assert_eq!(
         from_value::<JobEnd>(item.value.clone()).expect("an end"),
         done()
     );
     let watched: WatchResponse = from_str(answer("answer/watch ")).expect("changes");
-    assert_eq!(watched.revision, 4_712);
+    assert_eq!(watched.revision, Revision(4_712));
     let [
         Event::Put {
             key,
@@ -531,9 +535,9 @@
     else {
         panic!("{:?}", watched.events)
     };
-    assert_eq!((key.as_str(), *version), ("r/term", 4_711));
+    assert_eq!((key.as_str(), *version), ("r/term", Revision(4_711)));
     assert_eq!(*value, json!("n-2"));
-    assert_eq!((gone.as_str(), *at), ("r/job/j-1", 4_712));
+    assert_eq!((gone.as_str(), *at), ("r/job/j-1", Revision(4_712)));
     let quiet: WatchResponse = from_str(answer("answer/quiet ")).expect("no changes");
     assert!(quiet.events.is_empty());
 }
--- a/tests/pinned_wire.rs
+++ b/tests/pinned_wire.rs
@@ -12,6 +12,7 @@
 };
 use ravenhead::cloud::{Cloud, ProvisioningRequest};
 use ravenhead::kv::{Change, Condition, Event, KvClient, LeaseId, Lookup, Outcome, Urgency};
+use ravenhead::revision::Revision;
 use ravenhead::scheduler::MachineId;
 use ravenhead::units::Micros;
 use serde_json::{Value, json};
@@ -441,7 +442,10 @@
         key: key.to_owned(),
         version,
     };
-    let when = [condition("a/b", 412), Condition::absent("c/e".to_owned())];
+    let when = [
+        condition("a/b", Revision(412)),
+        Condition::absent("c/e".to_owned()),
+    ];
     let writes = [
         Change::Put {
             key: "a/b".to_owned(),
@@ -475,7 +479,9 @@
             })
         }
         "watch" => {
-            let watched = state.watch("c/", 431, Micros::millis(10_000)).await;
+            let watched = state
+                .watch("c/", Revision(431), Micros::millis(10_000))
+                .await;
             told(watched, |news| {
                 let events = news.events.iter();
                 let events: Vec<String> = events
