--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -1,4 +1,4 @@
-//! The face for users and health checks.
+//! The interface for users and health checks.
 
 use super::RETRY_AFTER_TRANSIENT_S;
 use super::admission::AdmissionControl;
@@ -10,7 +10,7 @@
 use crate::readiness::is_ready;
 use crate::scheduler::{JobEnd, JobId, JobOutcome, JobRecord, JobSpec};
 use crate::state_loss::StateLossRecovery;
-use crate::store::{ABORTED, JobStatus, StateCache, StoreKey, encode};
+use crate::store::{ABORTED, DONE, JobStatus, PENDING, StateCache, StoreKey, encode};
 use crate::units::Micros;
 use http_types::Method;
 use log::{debug, info};
@@ -26,10 +26,6 @@
 /// When to come back while stored state is being rebuilt, in seconds.
 const RETRY_AFTER_REBUILD_S: u64 = 3;
 
-/// The state of a job whose tasks have yet to be placed, and of one that completed, as users are told it.
-const PENDING: &str = "pending";
-const DONE: &str = "done";
-
 /// What is known of a job's state.
 enum StatusLookup {
     Found(JobStatus),
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -7,10 +7,10 @@
     Listed, ListedStatus, MAX_MACHINES_PER_PROVISIONING, MAX_MACHINES_PER_TERMINATION,
     ProvisioningRequest,
 };
-pub use error::{CloudError, FailureCause, MalformedResponse};
+pub use error::CloudError;
 
 use crate::clock::sleep;
-use crate::http::Client;
+use crate::http::{Client, MalformedResponse};
 use crate::scheduler::{MachineId, MachineType};
 use crate::units::Micros;
 use http_types::Method;
--- a/src/cloud/error.rs
+++ b/src/cloud/error.rs
@@ -1,6 +1,6 @@
 //! Why a request to the cloud failed, and whether it may have been carried out all the same.
 
-use crate::http::HttpError;
+use crate::http::{FailureCause, HttpError, MalformedResponse};
 use thiserror::Error;
 
 /// Why the cloud did not do what was asked.
@@ -29,30 +29,3 @@
         }
     }
 }
-
-/// The cause of a refusal or of a missing response.
-#[derive(Debug, Error)]
-pub enum FailureCause {
-    /// The cloud answered with this status.
-    #[error("status {0}")]
-    Status(u16),
-    /// The connection failed. Whether the request was sent is said by the [`CloudError`] around it.
-    #[error("{}", .0.reason())]
-    Transport(#[source] HttpError),
-}
-
-/// How a message breaks the protocol.
-#[derive(Debug, Error)]
-pub enum MalformedResponse {
-    /// The body is not the JSON that was expected.
-    #[error(transparent)]
-    Json(#[from] serde_json::Error),
-    /// A status that the request can't have.
-    #[error("status {status} {body}")]
-    Status {
-        /// The status.
-        status: u16,
-        /// The body, with replacement characters for what is not UTF-8.
-        body: String,
-    },
-}
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -1,6 +1,6 @@
 use crate::cloud::wire::{ProvisionBody, TerminateBody, parse_response};
-use crate::cloud::{Cloud, CloudError, FailureCause, MalformedResponse, ProvisioningRequest};
-use crate::http::{HttpError, HttpRequest, HttpResponse, serve};
+use crate::cloud::{Cloud, CloudError, ProvisioningRequest};
+use crate::http::{FailureCause, HttpError, HttpRequest, HttpResponse, MalformedResponse, serve};
 use crate::net::Listener;
 use crate::scheduler::MachineId;
 use crate::units::Micros;
--- a/src/cloud/wire.rs
+++ b/src/cloud/wire.rs
@@ -1,7 +1,8 @@
 //! Bodies of the cloud's protocol under the names that it gives to their fields.
 
-use crate::cloud::error::{CloudError, FailureCause, MalformedResponse};
+use crate::cloud::error::CloudError;
 use crate::cloud_types::{Listed, ProvisioningRequest};
+use crate::http::{FailureCause, MalformedResponse};
 use crate::scheduler::{MachineId, MachineType};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
--- a/src/cloud_types.rs
+++ b/src/cloud_types.rs
@@ -1,7 +1,7 @@
 //! What the cloud's client shares with the scheduler and the store: the machine list, provisioning requests, and limits of
 //! the protocol. No I/O here, so that the scheduler need not import the client.
 
-use crate::scheduler::MachineId;
+use crate::ids::MachineId;
 use serde::{Deserialize, Serialize};
 
 /// The most machines that one provisioning request may ask for.
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -43,6 +43,13 @@
     }
 }
 
+/// Lets the view show a leader.
+fn elect(controller: &Controller, node: &str) {
+    let record = serde_json::json!({"node": node, "incarnation": 1, "lease": 1});
+    let mut view = controller.shared.store.view.borrow_mut();
+    view.put("r/leader", record, Revision(7)).expect("a leader");
+}
+
 // Guards against workers that stay with a controller which reaches nobody, while others would serve them; and
 // against the attempt costing them their lease where they reach no other.
 #[test]
@@ -90,18 +97,8 @@
 fn behind_a_filter_between_controllers_workers_are_sent_to_the_leader() {
     let n = node(14.0);
     let m = MachineId("m-1".into());
-    let lead = |node: &str| {
-        let record = serde_json::json!({"node": node, "incarnation": 1, "lease": 1});
-        let put = n
-            .shared
-            .store
-            .view
-            .borrow_mut()
-            .put("r/leader", record, Revision(7));
-        put.expect("a leader");
-    };
     n.contacts.record_contact(m.clone());
-    lead("n-2");
+    elect(&n, "n-2");
     answer_all(&n);
     assert_eq!(
         n.contacts.redirect_target(&m, "b"),
@@ -169,14 +166,7 @@
 fn cancelled_tasks_are_stopped_by_whom_their_worker_reaches() {
     let n = Rc::new(node(14.0));
     answer_all(&n);
-    let lead = serde_json::json!({"node": "n-2", "incarnation": 1, "lease": 1});
-    let put = n
-        .shared
-        .store
-        .view
-        .borrow_mut()
-        .put("r/leader", lead, Revision(7));
-    put.expect("a leader");
+    elect(&n, "n-2");
     hear_of_cancellation(&n, "j-1");
     let (status, answer) = checkin(&n, 1, 7, &["j-1", "j-2"]);
     assert_eq!((status, &answer["warrant"]), (200, &serde_json::json!(7)));
--- a/src/http.rs
+++ b/src/http.rs
@@ -2,10 +2,12 @@
 
 mod bounded;
 mod client;
+mod failure;
 mod message;
 mod server;
 
 pub use client::{Client, HttpError, TransportError};
+pub use failure::{FailureCause, MalformedResponse};
 pub use message::{HttpRequest, HttpResponse};
 pub use server::{MAX_BODY, serve};
 
--- a/src/kv.rs
+++ b/src/kv.rs
@@ -2,7 +2,7 @@
 //!
 //! [`KvClient`] is all that a controller sees of the service. Every request has a deadline, takes its share of the
 //! controller's request budget, and fails with a [`KvError`] that tells what is certain from what is not. The protocol's
-//! own field names appear in `wire` only.
+//! own field names stand in serde renames, and in `wire` where a message is nothing else.
 
 mod budget;
 mod client;
@@ -18,7 +18,7 @@
 
 pub use budget::Urgency;
 pub use client::KvClient;
-pub use error::{FailureCause, KvError, MalformedResponse};
+pub use error::KvError;
 pub use items::{Item, Lookup, Page};
 pub use lease::LeaseId;
 pub use retransmit::RetransmitTimer;
--- a/src/kv/error.rs
+++ b/src/kv/error.rs
@@ -1,6 +1,6 @@
 //! Why a request to the state service failed, and whether it may have been executed all the same.
 
-use crate::http::HttpError;
+use crate::http::{FailureCause, HttpError, MalformedResponse};
 use std::fmt;
 use thiserror::Error;
 
@@ -40,34 +40,7 @@
     }
 }
 
-/// What a refusal or a missing response was caused by.
-#[derive(Error)]
-pub enum FailureCause {
-    /// The service answered with this HTTP status.
-    #[error("status {0}")]
-    Status(u16),
-    /// The connection failed.
-    #[error("{}", .0.reason())]
-    Transport(#[source] HttpError),
-}
-
-/// How a response breaks the protocol.
-#[derive(Error)]
-pub enum MalformedResponse {
-    /// The body is not the JSON that was expected.
-    #[error(transparent)]
-    Json(serde_json::Error),
-    /// The status is none that the request can have.
-    #[error("status {status} {body}")]
-    Status {
-        /// The HTTP status.
-        status: u16,
-        /// The beginning of the body.
-        body: String,
-    },
-}
-
-// Log lines print errors with `{:?}`: in the words that earlier releases logged, and causes as one quoted string.
+// Log lines print errors with `{:?}`, in the words that earlier releases logged.
 
 impl fmt::Debug for KvError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -81,17 +54,5 @@
     }
 }
 
-impl fmt::Debug for FailureCause {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        fmt::Debug::fmt(&self.to_string(), f)
-    }
-}
-
-impl fmt::Debug for MalformedResponse {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        fmt::Debug::fmt(&self.to_string(), f)
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/kv/error/tests.rs
+++ b/src/kv/error/tests.rs
@@ -1,5 +1,5 @@
-use super::{FailureCause, KvError, MalformedResponse};
-use crate::http::HttpError;
+use super::KvError;
+use crate::http::{FailureCause, HttpError, MalformedResponse};
 use crate::kv::response::Response;
 use std::error::Error;
 
--- a/src/kv/items.rs
+++ b/src/kv/items.rs
@@ -14,25 +14,27 @@
 
 /// A key with its value and version.
 #[derive(Debug, Clone, Deserialize)]
-#[serde(from = "wire::Item")]
 pub struct Item {
     /// The key.
+    #[serde(rename = "k")]
     pub key: String,
     /// The value.
+    #[serde(rename = "data")]
     pub value: Value,
     /// The revision at which it was last written.
+    #[serde(rename = "stamp")]
     pub version: Revision,
 }
 
 /// A page of keys.
 #[derive(Debug, Deserialize)]
-#[serde(from = "wire::Page")]
 pub struct Page {
     /// The keys, in order.
     pub items: Vec<Item>,
     /// Whether more follow.
     pub more: bool,
     /// The revision that the page describes.
+    #[serde(rename = "epoch")]
     pub revision: Revision,
 }
 
--- a/src/kv/response.rs
+++ b/src/kv/response.rs
@@ -1,7 +1,7 @@
 //! Responses of the state service, sorted into usable ones and errors that every request can have.
 
-use super::error::{FailureCause, KvError, MalformedResponse};
-use crate::http::HttpError;
+use super::error::KvError;
+use crate::http::{FailureCause, HttpError, MalformedResponse};
 use serde::Deserialize;
 
 /// How much of an unexpected body an error quotes, in characters.
--- a/src/kv/transaction.rs
+++ b/src/kv/transaction.rs
@@ -9,6 +9,7 @@
 use crate::revision::Revision;
 use futures_lite::FutureExt;
 use http_types::Method;
+use serde::Serialize;
 use serde_json::Value;
 use std::cell::Cell;
 
@@ -16,11 +17,13 @@
 pub const MAX_BATCH_BYTES: usize = 36 * 1024;
 
 /// A condition of a transaction: the version that a key must have.
-#[derive(Debug, Clone, PartialEq)]
+#[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Condition {
     /// The key.
+    #[serde(rename = "k")]
     pub key: String,
     /// Its version, 0 where it must not exist.
+    #[serde(rename = "stamp")]
     pub version: Revision,
 }
 
@@ -35,20 +38,25 @@
 }
 
 /// A change within a transaction.
-#[derive(Debug, Clone, PartialEq)]
+#[derive(Debug, Clone, PartialEq, Serialize)]
+#[serde(untagged)]
 pub enum Change {
     /// Writes a key.
     Put {
         /// The key.
+        #[serde(rename = "write")]
         key: String,
         /// The new value.
+        #[serde(rename = "data")]
         value: Value,
         /// The lease with which the key ends, if any.
+        #[serde(rename = "tenure", skip_serializing_if = "Option::is_none")]
         lease: Option<LeaseId>,
     },
     /// Removes a key.
     Delete {
         /// The key.
+        #[serde(rename = "delete")]
         key: String,
     },
 }
--- a/src/kv/watch.rs
+++ b/src/kv/watch.rs
@@ -4,7 +4,6 @@
 use super::client::KvClient;
 use super::error::KvError;
 use super::response::Response;
-use super::wire;
 use crate::revision::Revision;
 use crate::units::Micros;
 use http_types::Method;
@@ -15,33 +14,40 @@
 const WATCH_MARGIN: Micros = Micros::secs(2);
 
 /// A change seen by a watch.
-#[derive(Debug, Clone)]
+#[derive(Debug, Clone, Deserialize)]
+#[serde(untagged)]
 pub enum Event {
     /// A key was written.
     Put {
         /// The key.
+        #[serde(rename = "write")]
         key: String,
         /// The value.
+        #[serde(rename = "data")]
         value: Value,
         /// The revision of the write.
+        #[serde(rename = "stamp")]
         version: Revision,
     },
     /// A key was removed.
     Delete {
         /// The key.
+        #[serde(rename = "delete")]
         key: String,
         /// The revision of the removal.
+        #[serde(rename = "stamp")]
         version: Revision,
     },
 }
 
 /// What a watch answered.
 #[derive(Debug, Deserialize)]
-#[serde(from = "wire::WatchResponse")]
 pub struct WatchResponse {
     /// The revision up to which no change is left out.
+    #[serde(rename = "epoch")]
     pub revision: Revision,
     /// The changes, in order.
+    #[serde(rename = "news", default)]
     pub events: Vec<Event>,
 }
 
--- a/src/kv/wire.rs
+++ b/src/kv/wire.rs
@@ -1,42 +1,16 @@
-//! The protocol's messages under its own field names, mapped to the client's types here and nowhere else.
+//! Messages of the protocol that are nothing else to the client, under the protocol's field names.
 
 use super::error::KvError;
 use super::lease::LeaseId;
-use super::{items, transaction, watch};
+use super::transaction::{Change, Condition};
 use crate::revision::Revision;
 use crate::units::Micros;
-use serde::{Deserialize, Serialize, Serializer};
-use serde_json::Value;
+use serde::{Deserialize, Serialize};
 
 #[derive(Serialize)]
 struct Transaction<'a> {
-    when: &'a [transaction::Condition],
-    writes: &'a [transaction::Change],
-}
-
-#[derive(Serialize)]
-struct Condition<'a> {
-    #[serde(rename = "k")]
-    key: &'a str,
-    #[serde(rename = "stamp")]
-    version: Revision,
-}
-
-#[derive(Serialize)]
-#[serde(untagged)]
-enum Change<'a> {
-    Put {
-        #[serde(rename = "write")]
-        key: &'a str,
-        #[serde(rename = "data")]
-        value: &'a Value,
-        #[serde(rename = "tenure", skip_serializing_if = "Option::is_none")]
-        lease: Option<LeaseId>,
-    },
-    Delete {
-        #[serde(rename = "delete")]
-        key: &'a str,
-    },
+    when: &'a [Condition],
+    writes: &'a [Change],
 }
 
 #[derive(Serialize)]
@@ -46,10 +20,7 @@
 }
 
 /// Returns the body of a transaction.
-pub(super) fn transaction(
-    when: &[transaction::Condition],
-    writes: &[transaction::Change],
-) -> Result<Vec<u8>, KvError> {
+pub(super) fn transaction(when: &[Condition], writes: &[Change]) -> Result<Vec<u8>, KvError> {
     encode(&Transaction { when, writes })
 }
 
@@ -65,30 +36,6 @@
     Ok(serde_json::to_vec(&sorted)?)
 }
 
-impl Serialize for transaction::Condition {
-    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let condition = Condition {
-            key: &self.key,
-            version: self.version,
-        };
-        condition.serialize(serializer)
-    }
-}
-
-impl Serialize for transaction::Change {
-    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let change = match self {
-            transaction::Change::Put { key, value, lease } => Change::Put {
-                key,
-                value,
-                lease: *lease,
-            },
-            transaction::Change::Delete { key } => Change::Delete { key },
-        };
-        change.serialize(serializer)
-    }
-}
-
 /// What tells only the revision as of which it was given.
 #[derive(Deserialize)]
 pub(super) struct RevisionResponse {
@@ -112,97 +59,5 @@
     pub id: LeaseId,
 }
 
-#[derive(Deserialize)]
-pub(super) struct Item {
-    #[serde(rename = "k")]
-    key: String,
-    #[serde(rename = "data")]
-    value: Value,
-    #[serde(rename = "stamp")]
-    version: Revision,
-}
-
-#[derive(Deserialize)]
-pub(super) struct Page {
-    items: Vec<Item>,
-    more: bool,
-    #[serde(rename = "epoch")]
-    revision: Revision,
-}
-
-#[derive(Deserialize)]
-#[serde(untagged)]
-enum Event {
-    Put {
-        #[serde(rename = "write")]
-        key: String,
-        #[serde(rename = "data")]
-        value: Value,
-        #[serde(rename = "stamp")]
-        version: Revision,
-    },
-    Delete {
-        #[serde(rename = "delete")]
-        key: String,
-        #[serde(rename = "stamp")]
-        version: Revision,
-    },
-}
-
-#[derive(Deserialize)]
-pub(super) struct WatchResponse {
-    #[serde(rename = "epoch")]
-    revision: Revision,
-    #[serde(rename = "news", default)]
-    events: Vec<Event>,
-}
-
-impl From<Item> for items::Item {
-    fn from(item: Item) -> items::Item {
-        items::Item {
-            key: item.key,
-            value: item.value,
-            version: item.version,
-        }
-    }
-}
-
-impl From<Page> for items::Page {
-    fn from(page: Page) -> items::Page {
-        items::Page {
-            items: page.items.into_iter().map(items::Item::from).collect(),
-            more: page.more,
-            revision: page.revision,
-        }
-    }
-}
-
-impl From<Event> for watch::Event {
-    fn from(event: Event) -> watch::Event {
-        match event {
-            Event::Put {
-                key,
-                value,
-                version,
-            } => watch::Event::Put {
-                key,
-                value,
-                version,
-            },
-            Event::Delete { key, version } => watch::Event::Delete { key, version },
-        }
-    }
-}
-
-impl From<WatchResponse> for watch::WatchResponse {
-    fn from(response: WatchResponse) -> watch::WatchResponse {
-        let events = response.events.into_iter();
-        watch::WatchResponse {
-            revision: response.revision,
-            events: events.map(watch::Event::from).collect(),
-        }
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,6 +18,7 @@
 pub mod fencing;
 pub mod futures;
 pub mod http;
+pub mod ids;
 pub mod kv;
 pub mod leader;
 pub mod membership;
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -1,8 +1,8 @@
 //! The machines that a scheduling cycle may offer jobs to, indexed by their free resources, so that full ones are skipped.
 
-use super::ids::MachineId;
 use super::machine::{MAX_TASKS_PER_MACHINE, Machine};
 use super::offers::Pass;
+use crate::ids::MachineId;
 use crate::units::Resources;
 use ravenhead_index::FirstFitByKind;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/src/scheduler/commands.rs
+++ b/src/scheduler/commands.rs
@@ -1,10 +1,10 @@
 //! The commands that go into the answer to a heartbeat.
 
 use super::Scheduler;
-use super::ids::{MachineId, TaskId};
 use super::job::StopReason;
 use super::machine::{ExpectedEffect, Machine};
 use super::messages::{AgentCommand, TaskState};
+use crate::ids::{MachineId, TaskId};
 use crate::units::Micros;
 use ravenhead_recovery::HeartbeatPosition;
 
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -2,7 +2,6 @@
 //! can be terminated. Offers gather load on low ids only as tasks arrive; services stay where they once were placed.
 
 use super::events::SchedulerEvent;
-use super::ids::{MachineId, TaskId};
 use super::job::{Job, StopReason};
 use super::job_spec::{JobSpec, Shape};
 use super::machine::{Machine, MachineState};
@@ -10,6 +9,7 @@
 use super::offers::zone_takes;
 use super::reserve::Reserve;
 use super::{Scheduler, spec_of};
+use crate::ids::{MachineId, TaskId};
 use crate::units::{Micros, Resources};
 use std::collections::HashMap;
 
--- a/src/scheduler/events.rs
+++ b/src/scheduler/events.rs
@@ -1,9 +1,9 @@
 //! What the scheduler wants logged: events with their fields, rendered in this one place.
 
 use super::failure_detection::LossCause;
-use super::ids::{JobId, MachineId, TaskId};
 use super::messages::ExitCause;
 use crate::fencing::FencingToken;
+use crate::ids::{JobId, MachineId, TaskId};
 use crate::units::Micros;
 use ravenhead_recovery::Counts;
 use std::fmt;
--- a/src/scheduler/failure_attribution.rs
+++ b/src/scheduler/failure_attribution.rs
@@ -2,9 +2,9 @@
 
 use super::Scheduler;
 use super::events::SchedulerEvent;
-use super::ids::{JobId, MachineId, TaskId};
 use super::job_spec::Shape;
 use super::machine::MachineState;
+use crate::ids::{JobId, MachineId, TaskId};
 use crate::units::Micros;
 
 /// A job that failed on so many machines is itself crash-looping.
--- a/src/scheduler/failure_detection/mod.rs
+++ b/src/scheduler/failure_detection/mod.rs
@@ -28,9 +28,9 @@
 
 pub use loss::LossCause;
 
-use super::ids::MachineId;
 use super::machine::{Machine, MachineState};
 use super::{ControllerStatus, Scheduler, SchedulerConfig};
+use crate::ids::MachineId;
 use crate::units::Micros;
 use controllers::ControllerReachability;
 use loss::RecentFailures;
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -3,10 +3,10 @@
 //! Offers give resources to the first due job that fits, so that a job whose tasks need more than is ever free at
 //! once, on a machine, in its zone or within its team's limit, could wait for as long as smaller ones come.
 
-use super::ids::{JobId, MachineId};
 use super::job::Job;
 use super::machine::Machine;
 use super::{Scheduler, spec_of};
+use crate::ids::{JobId, MachineId};
 use crate::units::Micros;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap, HashSet};
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -1,13 +1,13 @@
 //! The fleet: what to provision for tasks that no machine took, and what to terminate.
 
 use super::events::SchedulerEvent;
-use super::ids::{MachineId, TaskId};
 use super::job_spec::{JobSpec, Shape};
 use super::machine::{Machine, MachineState};
 use super::machine_type::MachineType;
 use super::reserve::Reserve;
 use super::{Scheduler, live_tasks};
 use crate::cloud_types::{Listed, ListedStatus};
+use crate::ids::{MachineId, TaskId};
 use crate::units::{Micros, Resources};
 use ravenhead_recovery::Resolution;
 use std::collections::{BTreeMap, HashSet};
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -2,9 +2,9 @@
 
 use super::Scheduler;
 use super::events::SchedulerEvent;
-use super::ids::MachineId;
 use super::machine::MachineState;
 use super::messages::{Heartbeat, TaskStatusIndex};
+use crate::ids::MachineId;
 use crate::units::Micros;
 
 /// What a heartbeat brought.
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -1,9 +1,9 @@
 //! A job in the leader's memory: its chunks, its tasks' placements and its place in the queue.
 
-use super::ids::MachineId;
 use super::job_spec::JobSpec;
 use super::messages::TaskState;
 use super::records::{CHUNK_SIZE, ChunkRecord, JobEnd};
+use crate::ids::MachineId;
 use crate::revision::Revision;
 use crate::units::Micros;
 use ravenhead_recovery::{HeartbeatPosition, Origin, RecordedTask};
--- a/src/scheduler/job_index.rs
+++ b/src/scheduler/job_index.rs
@@ -3,8 +3,8 @@
 //! Each set may hold more than it says, never less: readers check the job or the task itself, and stale entries are
 //! dropped when they are met.
 
-use super::ids::{JobId, TaskId};
 use super::job::Job;
+use crate::ids::{JobId, TaskId};
 use crate::units::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/scheduler/job_spec.rs
+++ b/src/scheduler/job_spec.rs
@@ -1,6 +1,6 @@
 //! A job as its user submitted it, and the checks that a submission must pass.
 
-use super::ids::JobId;
+use crate::ids::JobId;
 use crate::units::Resources;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -1,8 +1,8 @@
 //! A machine in the leader's memory: its resources, the tasks on it and its last contact.
 
-use super::ids::{JobId, TaskId};
 use super::job_spec::Priority;
 use super::messages::{TaskState, TaskStatusIndex};
+use crate::ids::{JobId, TaskId};
 use crate::units::{Micros, Resources};
 use ravenhead_recovery::HeartbeatPosition;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -1,7 +1,7 @@
 //! The messages between workers and the leader: heartbeats and commands.
 
-use super::ids::{MachineId, TaskId};
 use crate::fencing::FencingToken;
+use crate::ids::{MachineId, TaskId};
 use bitcode::{Decode, Encode};
 use ravenhead_recovery::{HeartbeatPosition, ReportedState};
 use serde::{Deserialize, Serialize};
--- a/src/scheduler/offers.rs
+++ b/src/scheduler/offers.rs
@@ -2,12 +2,12 @@
 
 use super::candidates::{Candidates, SearchOrder};
 use super::events::SchedulerEvent;
-use super::ids::{JobId, MachineId, TaskId};
 use super::job::{Job, Placement, StopReason};
 use super::job_spec::Priority;
 use super::preemption::PreemptionPass;
 use super::records::CHUNK_SIZE;
 use super::{Scheduler, live_tasks, spec_of};
+use crate::ids::{JobId, MachineId, TaskId};
 use crate::units::{Micros, Resources};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,11 +1,11 @@
 //! Preemption: stops tasks for jobs that must not wait, only as the protocol allows and at the least loss of work.
 
 use super::events::SchedulerEvent;
-use super::ids::{JobId, MachineId, TaskId};
 use super::job::{Job, StopReason};
 use super::job_spec::{JobSpec, Priority, Shape};
 use super::machine::Machine;
 use super::{Scheduler, spec_of};
+use crate::ids::{JobId, MachineId, TaskId};
 use crate::units::{Micros, Resources};
 use std::collections::BTreeMap;
 
--- a/src/scheduler/provisioning_times.rs
+++ b/src/scheduler/provisioning_times.rs
@@ -1,9 +1,9 @@
 //! How long machines take to come up: which late ones have timed out, and which are only as late as all of their zone.
 
 use super::events::SchedulerEvent;
-use super::ids::MachineId;
 use super::machine::{Machine, MachineState};
 use super::machine_type::MachineType;
+use crate::ids::MachineId;
 use crate::units::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -1,8 +1,8 @@
 //! Team quotas: limits that hold at every moment, and guarantees that go before borrowing.
 
-use super::ids::JobId;
 use super::job::Job;
 use super::{Scheduler, TeamQuota};
+use crate::ids::JobId;
 use crate::units::Resources;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
--- a/src/scheduler/rebuild.rs
+++ b/src/scheduler/rebuild.rs
@@ -3,9 +3,9 @@
 
 use super::Scheduler;
 use super::events::SchedulerEvent;
-use super::ids::TaskId;
 use super::machine::MachineState;
 use super::records::CHUNK_SIZE;
+use crate::ids::TaskId;
 use crate::units::Micros;
 
 /// Attempts after a loss begin so far above those before it: records may lack the last ones, and a worker takes an attempt
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -2,10 +2,10 @@
 
 use super::Scheduler;
 use super::events::SchedulerEvent;
-use super::ids::{MachineId, TaskId};
 use super::job::Placement;
 use super::messages::{ExitCause, Heartbeat, TaskState, TaskStatus, TaskStatusIndex};
 use super::records::CHUNK_SIZE;
+use crate::ids::{MachineId, TaskId};
 use crate::units::Micros;
 use ravenhead_recovery::{
     HeartbeatContext, JobState, RecordedVerdict, Resolution, UnrecordedTask, UnrecordedVerdict,
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -1,7 +1,7 @@
 //! What the state service keeps of a job: its submission, its end, and its tasks in chunks.
 
-use super::ids::MachineId;
 use super::job_spec::JobSpec;
+use crate::ids::MachineId;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
--- a/src/scheduler/recovery.rs
+++ b/src/scheduler/recovery.rs
@@ -4,8 +4,8 @@
 //! only counts.
 
 use super::events::SchedulerEvent;
-use super::ids::TaskId;
 use super::{Scheduler, live_tasks};
+use crate::ids::TaskId;
 use crate::units::Micros;
 use ravenhead_recovery::{Progress, Resolution, UnrecordedVerdict};
 
--- a/src/scheduler/writes.rs
+++ b/src/scheduler/writes.rs
@@ -3,11 +3,11 @@
 //! Only one batch is in flight at a time; the controller reports its outcome before it requests the next.
 
 use super::Scheduler;
-use super::ids::{JobId, MachineId};
 use super::job::Job;
 use super::job_spec::Priority;
 use super::machine::CachedImage;
 use super::records::{CHUNK_SIZE, ChunkRecord};
+use crate::ids::{JobId, MachineId};
 use crate::revision::Revision;
 use crate::units::Micros;
 use std::cmp::Reverse;
--- a/src/store.rs
+++ b/src/store.rs
@@ -18,7 +18,7 @@
     ArchivedEnd, CandidateRecord, InvalidRecord, LeaderRecord, LossRecord, ProvisioningRecord,
     decode, encode,
 };
-pub use view::{ABORTED, JobStatus, Versioned, View, ViewChange};
+pub use view::{ABORTED, DONE, JobStatus, PENDING, RUNNING, Versioned, View, ViewChange};
 
 use crate::clock::Clock;
 use crate::kv::KvClient;
--- a/src/store/view.rs
+++ b/src/store/view.rs
@@ -3,7 +3,7 @@
 mod apply;
 mod status;
 
-pub use status::{ABORTED, JobStatus};
+pub use status::{ABORTED, DONE, JobStatus, PENDING, RUNNING};
 
 use super::keys::StoreKey;
 use super::records::{CandidateRecord, LeaderRecord, LossRecord, ProvisioningRecord};
--- a/src/store/view/status.rs
+++ b/src/store/view/status.rs
@@ -4,6 +4,12 @@
 use crate::scheduler::{JobEnd, JobId, JobOutcome};
 use serde::Serialize;
 
+/// The status of a job none of whose tasks is placed.
+pub const PENDING: &str = "pending";
+/// The status of a job with tasks on machines.
+pub const RUNNING: &str = "running";
+/// The status of a job that completed.
+pub const DONE: &str = "done";
 /// The status of a cancelled job.
 pub const ABORTED: &str = "aborted";
 
@@ -13,7 +19,7 @@
     /// The job.
     #[serde(rename = "nameId")]
     pub id: JobId,
-    /// `pending`, `running`, `done` or `aborted`.
+    /// [`PENDING`], [`RUNNING`], [`DONE`] or [`ABORTED`].
     pub status: &'static str,
     /// Tasks completed.
     pub done: u32,
@@ -40,7 +46,7 @@
         }
         JobStatus {
             id: id.clone(),
-            status: if running > 0 { "running" } else { "pending" },
+            status: if running > 0 { RUNNING } else { PENDING },
             done,
             running,
         }
@@ -49,7 +55,7 @@
 
 fn ended(id: &JobId, end: JobEnd) -> JobStatus {
     let status = match end.outcome {
-        JobOutcome::Done => "done",
+        JobOutcome::Done => DONE,
         JobOutcome::Aborted => ABORTED,
     };
     JobStatus {
