--- a/src/rebuild/plan.rs
+++ b/src/state_loss/plan.rs
@@ -1,9 +1,9 @@
 //! What has to be written to rebuild: what a snapshot has and the stored state lacks.
 
-use crate::controller::Node;
-use crate::scheduler::{End, Final, JobId};
+use crate::controller::Controller;
+use crate::scheduler::{JobEnd, JobId, JobOutcome};
 use crate::store::{
-    ArchivedEnd, MACHINE_TYPES, View, archive_key, chunk_key, end_key, job_key, rental_key,
+    ArchivedEnd, MACHINE_TYPES, View, archive_key, chunk_key, end_key, job_key, provisioning_key,
 };
 use ravenhead_recovery::{Restore, Stored, missing};
 use serde_json::{Value, json};
@@ -13,7 +13,7 @@
 const ARCHIVED_BYTES: usize = 160;
 
 /// What is missing, as far as this controller's snapshot tells.
-pub(super) fn plan(node: &Node, number: u64) -> Vec<Restore<Value>> {
+pub(super) fn plan(node: &Controller, number: u64) -> Vec<Restore<Value>> {
     let loss = node.store.loss.borrow();
     let Some(snapshot) = loss.as_ref().and_then(|l| l.snapshot.as_ref()) else {
         return Vec::new();
@@ -21,14 +21,14 @@
     let view = node.store.view.borrow();
     let cancellations = node.cancellations.borrow();
     let cancelled = cancellations.cancelled().map(|(job, at)| {
-        let end = End {
-            how: Final::Aborted,
+        let end = JobEnd {
+            outcome: JobOutcome::Aborted,
             at,
             done: 0,
         };
         (job, end)
     });
-    let mut ends: BTreeMap<&JobId, End> = cancelled.collect();
+    let mut ends: BTreeMap<&JobId, JobEnd> = cancelled.collect();
     ends.extend(snapshot.ends.iter().map(|(id, end)| (id, end.value)));
     ends.retain(|id, _| !view.ends.contains_key(*id));
     // Ends of jobs whose records are there are keys of their own, as writes are conditional on them.
@@ -51,7 +51,12 @@
 }
 
 /// Ends in as few values as they fit into.
-fn archives(node: &Node, number: u64, ends: &[(&JobId, End)], view: &View) -> Vec<(String, Value)> {
+fn archives(
+    node: &Controller,
+    number: u64,
+    ends: &[(&JobId, JobEnd)],
+    view: &View,
+) -> Vec<(String, Value)> {
     let value_bytes = node.platform.facts.state.value_kb * 1024.0;
     let most = (value_bytes as usize / ARCHIVED_BYTES).max(1);
     // A rebuild that was cut off may have written some of this loss already.
@@ -87,7 +92,7 @@
     batches
 }
 
-/// What a snapshot has and the view lacks: ends of jobs, and jobs that are not over.
+/// What a snapshot has and the view lacks: ends of jobs, and jobs that are not ended.
 pub(super) fn unknown_to(view: &View, snapshot: &View) -> Vec<(JobId, String, Value)> {
     let ended = snapshot
         .ends
@@ -103,7 +108,7 @@
 }
 
 impl View {
-    /// What a loss must not take away, ends aside: jobs and their runs, and machine types and rentals that `now` lacks.
+    /// What a loss must not take away, ends aside: jobs and their runs, and machine types and provisioning requests that `now` lacks.
     fn records(&self, now: &View) -> Vec<(String, Stored<Value>)> {
         let mut records: Vec<(String, Stored<Value>)> = self.present().into_iter().collect();
         let new = |key: String, value: Value| (key, Stored { value, version: 1 });
@@ -112,9 +117,10 @@
         {
             records.push(new(MACHINE_TYPES.to_owned(), json!(types.value)));
         }
-        let rentals = self.rentals.iter();
-        let rentals = rentals.filter(|(name, _)| !now.rentals.contains_key(*name));
-        records.extend(rentals.map(|(name, rental)| new(rental_key(name), json!(rental))));
+        let provisioning = self.provisioning.iter();
+        let provisioning = provisioning.filter(|(name, _)| !now.provisioning.contains_key(*name));
+        records
+            .extend(provisioning.map(|(name, rental)| new(provisioning_key(name), json!(rental))));
         records
     }
 
--- a/src/store.rs
+++ b/src/store.rs
@@ -5,8 +5,8 @@
 pub use view::*;
 
 use crate::clock::{Clock, sleep};
-use crate::http::within;
-use crate::state::{Change, Event as KeyEvent, State, StateError, Urgency};
+use crate::http::timeout;
+use crate::kv::{Change, Event as KeyEvent, KvClient, KvError, Urgency};
 use crate::units::Micros;
 use event_listener::Event;
 use futures_lite::FutureExt;
@@ -17,20 +17,20 @@
 use std::rc::Rc;
 
 /// A key that never exists: reading it tells the current revision.
-pub const NOTHING: &str = "r/nothing";
+pub const ABSENT_KEY: &str = "r/nothing";
 
 /// How long a watch waits; short, so that one whose packets are held is soon replaced.
-const WATCH_FOR: Micros = Micros::secs(3);
+const WATCH_TIMEOUT: Micros = Micros::secs(3);
 /// How often the state service is tried when nothing else tells whether it answers.
-const PROBE_EVERY: Micros = Micros::secs(1);
+const PROBE_INTERVAL: Micros = Micros::secs(1);
 /// How long a read barrier may take in all.
-const BARRIER_WITHIN: Micros = Micros::millis(1_300);
+const BARRIER_TIMEOUT: Micros = Micros::millis(1_300);
 /// After so long without an answer the state service counts as out of reach.
-const QUIET_LIMIT: Micros = Micros::millis(2_500);
+const UNREACHABLE_AFTER: Micros = Micros::millis(2_500);
 
 /// One round of the read barrier, shared by all who wait for it.
 #[derive(Default)]
-struct BarrierRound {
+struct BarrierGeneration {
     done: Cell<Option<bool>>,
     event: Event,
 }
@@ -46,7 +46,7 @@
 impl Loss {
     /// Whether a view that was lost later was still without what this loss took away.
     fn is_of(&self, later: Option<&View>) -> bool {
-        later.is_none_or(|view| view.losses() <= self.losses() || view.is_unfinished())
+        later.is_none_or(|view| view.losses() <= self.losses() || view.has_unfinished_rebuild())
     }
 
     /// The losses that were rebuilt before the snapshot.
@@ -68,8 +68,8 @@
 }
 
 /// The cached view with the duties that keep it.
-pub struct Store {
-    state: Rc<State>,
+pub struct StateCache {
+    state: Rc<KvClient>,
     clock: Clock,
     /// The view.
     pub view: RefCell<View>,
@@ -77,11 +77,11 @@
     pub changed: Event,
     /// What happened, kept only while somebody leads by it.
     seen: RefCell<Option<Vec<ViewChange>>>,
-    /// Fires when there is something for [`Store::take_changes`].
-    pub news: Event,
+    /// Fires when there is something for [`StateCache::take_changes`].
+    pub change_notifications: Event,
     pause: Micros,
-    kick: Event,
-    barrier: RefCell<Rc<BarrierRound>>,
+    watch_now: Event,
+    barrier: RefCell<Rc<BarrierGeneration>>,
     barrier_wanted: Event,
     answered: Cell<Micros>,
     /// The loss that is being rebuilt.
@@ -91,18 +91,18 @@
     own_commits: RefCell<Vec<OwnCommit>>,
 }
 
-impl Store {
+impl StateCache {
     /// An empty view; `pause` is how long changes gather before the next watch.
-    pub fn new(state: Rc<State>, clock: Clock, pause: Micros) -> Store {
-        Store {
+    pub fn new(state: Rc<KvClient>, clock: Clock, pause: Micros) -> StateCache {
+        StateCache {
             state,
             clock,
             view: RefCell::default(),
             changed: Event::new(),
             seen: RefCell::default(),
-            news: Event::new(),
+            change_notifications: Event::new(),
             pause,
-            kick: Event::new(),
+            watch_now: Event::new(),
             barrier: RefCell::default(),
             barrier_wanted: Event::new(),
             answered: Cell::new(clock.now()),
@@ -120,16 +120,17 @@
     /// Whether stored state was lost and is not there again, as far as this controller knows; or nothing was ever written.
     pub fn is_rebuilding(&self) -> bool {
         let view = self.view.borrow();
-        let is_lost = self.loss.borrow().is_some() || view.is_unfinished() || view.term == 0;
-        self.state.watches_for_loss() && is_lost
+        let is_lost =
+            self.loss.borrow().is_some() || view.has_unfinished_rebuild() || view.term == 0;
+        self.state.detects_loss() && is_lost
     }
 
     /// This controller committed changes at this revision.
     ///
     /// Guards against a job that was accepted or cancelled, or a task that finished, right before a loss, so that no view
     /// shows it.
-    pub fn note_commits(&self, revision: u64, changes: &[Change]) {
-        if !self.state.watches_for_loss() {
+    pub fn record_commits(&self, revision: u64, changes: &[Change]) {
+        if !self.state.detects_loss() {
             return;
         }
         let shown = self.view.borrow().revision;
@@ -163,11 +164,14 @@
         );
         self.losses_found.set(self.losses_found.get() + 1);
         let before = self.loss.take();
-        let is_unfinished = before.as_ref().is_some_and(|b| b.is_of(snapshot.as_ref()));
-        let snapshot = match before.and_then(|b| b.snapshot).filter(|_| is_unfinished) {
+        let has_unfinished_rebuild = before.as_ref().is_some_and(|b| b.is_of(snapshot.as_ref()));
+        let snapshot = match before
+            .and_then(|b| b.snapshot)
+            .filter(|_| has_unfinished_rebuild)
+        {
             // What was lost once more before it was there again adds to the snapshot from before.
             Some(mut earlier) => {
-                earlier.absorb(snapshot.unwrap_or_default());
+                earlier.merge_missing(snapshot.unwrap_or_default());
                 Some(earlier)
             }
             None => snapshot,
@@ -181,25 +185,25 @@
 
     /// Whether the state service answered lately.
     pub fn reachable(&self) -> bool {
-        self.clock.now().since(self.answered.get()) < QUIET_LIMIT
+        self.clock.now().since(self.answered.get()) < UNREACHABLE_AFTER
     }
 
     /// As if the state service had not answered for long.
     #[cfg(test)]
-    pub fn forget_answers(&self) {
+    pub fn mark_unreachable_for_test(&self) {
         self.answered.set(Micros::ZERO);
     }
 
     /// The state service answered something just now.
-    pub fn note_answer(&self) {
+    pub fn mark_reachable(&self) {
         self.answered.set(self.clock.now());
     }
 
-    /// Begins or ends the keeping of what happens for [`Store::take_changes`].
+    /// Begins or ends the keeping of what happens for [`StateCache::take_changes`].
     ///
     /// Guards against a follower keeping all that it ever saw, and against a new leader taking old signs of life for
     /// new ones.
-    pub fn keep_seen(&self, keep: bool) {
+    pub fn record_changes(&self, keep: bool) {
         *self.seen.borrow_mut() = keep.then(Vec::new);
     }
 
@@ -213,7 +217,7 @@
     pub async fn follow(&self) {
         loop {
             if let Err(e) = self.load().await {
-                debug!("event=load_failed error={e:?}");
+                debug!("event=view_load_failed error={e:?}");
                 sleep(Micros::millis(300)).await;
                 continue;
             }
@@ -235,7 +239,7 @@
         }
     }
 
-    async fn load(&self) -> Result<(), StateError> {
+    async fn load(&self) -> Result<(), KvError> {
         let mut fresh = View::default();
         let mut seen = Vec::new();
         let mut from = String::new();
@@ -248,7 +252,7 @@
                 from.clone_from(&item.key);
                 match fresh.put(&item.key, item.value, item.version) {
                     Ok(news) => seen.extend(news),
-                    Err(e) => warn!("event=odd_key key={} error={e:?}", item.key),
+                    Err(e) => warn!("event=invalid_record key={} error={e:?}", item.key),
                 }
             }
             if !page.more {
@@ -262,7 +266,7 @@
             fresh.jobs.len(),
             fresh.ends.len()
         );
-        self.note_answer();
+        self.mark_reachable();
         self.view.replace(fresh);
         self.publish(seen);
         Ok(())
@@ -272,20 +276,20 @@
     async fn follow_changes(&self) {
         loop {
             let from = self.view.borrow().revision;
-            match self.state.watch(PREFIX, from, WATCH_FOR).await {
+            match self.state.watch(PREFIX, from, WATCH_TIMEOUT).await {
                 Ok(news) => {
-                    self.note_answer();
+                    self.mark_reachable();
                     let any = !news.events.is_empty();
                     self.apply(news.revision, news.events);
                     if any {
-                        let kick = self.kick.listen();
+                        let watch_now = self.watch_now.listen();
                         let pause = async {
                             sleep(self.pause).await;
                         };
-                        pause.or(kick).await;
+                        pause.or(watch_now).await;
                     }
                 }
-                Err(StateError::TooOld) => return,
+                Err(KvError::TooOld) => return,
                 Err(e) => {
                     debug!("event=watch_failed error={e:?}");
                     sleep(Micros::millis(250)).await;
@@ -305,7 +309,7 @@
                     version,
                 } => match view.put(&key, value, version) {
                     Ok(news) => seen.extend(news),
-                    Err(e) => warn!("event=odd_key key={key} error={e:?}"),
+                    Err(e) => warn!("event=invalid_record key={key} error={e:?}"),
                 },
                 KeyEvent::Delete { key, version } => view.delete(&key, version),
             }
@@ -320,13 +324,13 @@
             && !seen.is_empty()
         {
             kept.extend(seen);
-            self.news.notify(usize::MAX);
+            self.change_notifications.notify(usize::MAX);
         }
         self.changed.notify(usize::MAX);
     }
 
     /// Waits until the view holds at least this revision.
-    pub async fn caught_up(&self, revision: u64, limit: Micros) -> bool {
+    pub async fn wait_for_revision(&self, revision: u64, limit: Micros) -> bool {
         let wait = async {
             loop {
                 let changed = self.changed.listen();
@@ -336,11 +340,11 @@
                         return;
                     }
                 }
-                self.kick.notify(usize::MAX);
+                self.watch_now.notify(usize::MAX);
                 changed.await;
             }
         };
-        within(limit, wait).await.is_some()
+        timeout(limit, wait).await.is_some()
     }
 
     /// Waits until the view holds everything that was written before this call; false if that can't be had soon.
@@ -359,7 +363,7 @@
                 done.await;
             }
         };
-        within(BARRIER_WITHIN, wait).await.unwrap_or(false)
+        timeout(BARRIER_TIMEOUT, wait).await.unwrap_or(false)
     }
 
     /// The duty that serves read barriers, and tries the state service when nobody wants one.
@@ -367,19 +371,24 @@
         loop {
             let wanted = self.barrier_wanted.listen();
             let idle = async {
-                sleep(PROBE_EVERY).await;
+                sleep(PROBE_INTERVAL).await;
             };
-            // Those who came while the last round was under way wait for this one already.
+            // Those who came while the last scheduling cycle was under way wait for this one already.
             if Rc::strong_count(&self.barrier.borrow()) == 1 {
                 wanted.or(idle).await;
             }
-            // Those who come from now on wait for the next round: this one's read may be older than they.
+            // Those who come from now on wait for the next scheduling cycle: this one's read may be older than they.
             let round = self.barrier.replace(Rc::default());
-            let read = within(Micros::millis(800), self.state.get(Urgency::Now, NOTHING)).await;
+            let read = timeout(
+                Micros::millis(800),
+                self.state.get(Urgency::Now, ABSENT_KEY),
+            )
+            .await;
             let good = match read {
                 Some(Ok(Err(revision))) => {
-                    self.note_answer();
-                    self.caught_up(revision, Micros::millis(1_000)).await
+                    self.mark_reachable();
+                    self.wait_for_revision(revision, Micros::millis(1_000))
+                        .await
                 }
                 Some(Ok(Ok(_))) => false,
                 Some(Err(e)) => {
--- a/src/store/view.rs
+++ b/src/store/view.rs
@@ -1,7 +1,7 @@
 //! The keys in the state service and what they hold, as of a revision.
 
 use crate::scheduler::{
-    CachedImage, ChunkRecord, End, Final, JobId, JobRecord, MachineId, MachineType, Pool,
+    CachedImage, ChunkRecord, JobEnd, JobId, JobOutcome, JobRecord, MachineId, MachineType, Pool,
 };
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -40,8 +40,8 @@
     format!("r/heard/{node}/{part}")
 }
 
-/// The key of a rental request, by its name.
-pub fn rental_key(request_name: &str) -> String {
+/// The key of a provisioning request, by its name.
+pub fn provisioning_key(request_name: &str) -> String {
     format!("r/rental/{request_name}")
 }
 
@@ -94,7 +94,7 @@
     /// The job.
     pub job: JobId,
     /// How it ended.
-    pub end: End,
+    pub end: JobEnd,
 }
 
 /// The version of ends that stand in archives: no listing of single ends has them.
@@ -111,18 +111,18 @@
     pub lease: u64,
 }
 
-/// A rental that was asked for or answered, as a new leader must know it.
+/// A provisioning request that was asked for or answered, as a new leader must know it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RentalRecord {
+pub struct ProvisioningRecord {
     /// The request.
-    pub rental: crate::cloud::Rental,
+    pub rental: crate::cloud::ProvisioningRequest,
     /// The machines, once known.
     pub machines: Option<Vec<MachineId>>,
     /// When, by the time of day in microseconds.
     pub at: u64,
 }
 
-impl RentalRecord {
+impl ProvisioningRecord {
     /// Where it rents.
     pub fn pool(&self) -> Pool {
         Pool {
@@ -147,8 +147,8 @@
 pub enum ViewChange {
     /// A job was accepted.
     Job(JobId),
-    /// A job is over.
-    End(JobId),
+    /// A job has ended.
+    JobEnded(JobId),
     /// A controller tells which machines it hears.
     Contacts(String, Vec<MachineId>),
     /// The machine types were written.
@@ -164,16 +164,16 @@
     pub loaded: bool,
     /// Accepted jobs.
     pub jobs: BTreeMap<JobId, Versioned<JobRecord>>,
-    /// Jobs that are over.
-    pub ends: HashMap<JobId, Versioned<End>>,
+    /// Jobs that have ended.
+    pub ends: HashMap<JobId, Versioned<JobEnd>>,
     /// The last loss of stored state.
     pub loss: Option<Versioned<LossRecord>>,
     /// What controllers can rebuild from.
     pub candidates: BTreeMap<String, CandidateRecord>,
     /// How many archives of ends there are.
     pub archives: usize,
-    /// How many of the accepted jobs are over, their records waiting for their removal.
-    over: usize,
+    /// How many of the accepted jobs have ended, their records waiting for their removal.
+    ended_with_record: usize,
     /// Chunks of jobs.
     pub runs: BTreeMap<JobId, BTreeMap<u32, Versioned<ChunkRecord>>>,
     /// Images that machines have.
@@ -182,15 +182,15 @@
     pub leader: Option<Versioned<LeaderRecord>>,
     /// The last token.
     pub term: u64,
-    /// Recent rental requests by their names.
-    pub rentals: BTreeMap<String, RentalRecord>,
+    /// Recent provisioning requests by their names.
+    pub provisioning: BTreeMap<String, ProvisioningRecord>,
     /// The machine types.
     pub machine_types: Option<Versioned<Vec<MachineType>>>,
 }
 
 /// A job's state as users are told it.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Status {
+pub struct JobStatus {
     /// The job.
     #[serde(rename = "nameId")]
     pub id: JobId,
@@ -219,7 +219,7 @@
             let value = parse(value)?;
             let before = self.jobs.insert(id.clone(), Versioned { value, version });
             if before.is_none() && self.ends.contains_key(&id) {
-                self.over += 1;
+                self.ended_with_record += 1;
             }
             return Ok(Some(ViewChange::Job(id)));
         }
@@ -227,7 +227,7 @@
             let id = JobId::parse(id).ok_or("bad job id")?;
             let value = parse(value)?;
             self.put_end(&id, Versioned { value, version });
-            return Ok(Some(ViewChange::End(id)));
+            return Ok(Some(ViewChange::JobEnded(id)));
         }
         if let Some(run) = rest.strip_prefix("run/") {
             let (id, chunk) = split_run(run).ok_or("bad chunk key")?;
@@ -244,7 +244,8 @@
             return Ok(None);
         }
         if let Some(request_name) = rest.strip_prefix("rental/") {
-            self.rentals.insert(request_name.to_owned(), parse(value)?);
+            self.provisioning
+                .insert(request_name.to_owned(), parse(value)?);
             return Ok(None);
         }
         if let Some(node) = rest.strip_prefix("heard/") {
@@ -286,15 +287,15 @@
         Ok(None)
     }
 
-    fn put_end(&mut self, id: &JobId, end: Versioned<End>) {
+    fn put_end(&mut self, id: &JobId, end: Versioned<JobEnd>) {
         let before = self.ends.insert(id.clone(), end);
         if before.is_none() && self.jobs.contains_key(id) {
-            self.over += 1;
+            self.ended_with_record += 1;
         }
     }
 
     /// How a job ended.
-    pub fn end(&self, id: &JobId) -> Option<End> {
+    pub fn end(&self, id: &JobId) -> Option<JobEnd> {
         self.ends.get(id).map(|end| end.value)
     }
 
@@ -304,7 +305,7 @@
     }
 
     /// Takes in the jobs and ends that only another view has.
-    pub fn absorb(&mut self, other: View) {
+    pub fn merge_missing(&mut self, other: View) {
         for (id, end) in other.ends {
             if !self.ends.contains_key(&id) {
                 self.put_end(&id, end);
@@ -318,14 +319,14 @@
     }
 
     /// A controller that has evidence of a loss which nobody has begun to rebuild.
-    pub fn claims_loss(&self) -> Option<&String> {
+    pub fn peer_claiming_loss(&self) -> Option<&String> {
         let mut claims = self.candidates.iter();
         let claim = claims.find(|(_, c)| c.lost && c.losses >= self.losses());
         claim.map(|(node, _)| node)
     }
 
     /// Whether the last loss is not rebuilt.
-    pub fn is_unfinished(&self) -> bool {
+    pub fn has_unfinished_rebuild(&self) -> bool {
         self.loss.as_ref().is_some_and(|loss| !loss.value.restored)
     }
 
@@ -350,7 +351,7 @@
             if self.jobs.get(&id).is_some_and(|j| j.version <= version) {
                 self.jobs.remove(&id);
                 if self.ends.contains_key(&id) {
-                    self.over -= 1;
+                    self.ended_with_record -= 1;
                 }
             }
         } else if let Some((id, chunk)) = rest.strip_prefix("run/").and_then(split_run) {
@@ -365,7 +366,7 @@
         } else if let Some(machine) = rest.strip_prefix("images/") {
             self.images.remove(&MachineId(machine.to_owned()));
         } else if let Some(request_name) = rest.strip_prefix("rental/") {
-            self.rentals.remove(request_name);
+            self.provisioning.remove(request_name);
         } else if key == LEADER && self.leader.as_ref().is_some_and(|l| l.version <= version) {
             self.leader = None;
         }
@@ -376,9 +377,9 @@
         self.jobs.contains_key(id) || self.ends.contains_key(id)
     }
 
-    /// Jobs that are not over; the records of others may wait for their removal.
+    /// Jobs that are not ended; the records of others may wait for their removal.
     pub fn active_jobs(&self) -> usize {
-        self.jobs.len() - self.over
+        self.jobs.len() - self.ended_with_record
     }
 
     /// The machines on which tasks of a job are placed.
@@ -390,13 +391,13 @@
     }
 
     /// A job's state.
-    pub fn status(&self, id: &JobId) -> Option<Status> {
+    pub fn status(&self, id: &JobId) -> Option<JobStatus> {
         if let Some(end) = self.end(id) {
-            let status = match end.how {
-                Final::Done => "done",
-                Final::Aborted => ABORTED,
+            let status = match end.outcome {
+                JobOutcome::Done => "done",
+                JobOutcome::Aborted => ABORTED,
             };
-            return Some(Status {
+            return Some(JobStatus {
                 id: id.clone(),
                 status,
                 done: end.done,
@@ -409,7 +410,7 @@
             done += chunk.value.finished.count_ones();
             running += chunk.value.live.len() as u32;
         }
-        Some(Status {
+        Some(JobStatus {
             id: id.clone(),
             status: if running > 0 { "running" } else { "pending" },
             done,
--- a/src/units.rs
+++ b/src/units.rs
@@ -69,38 +69,40 @@
 
 /// What a task takes of a machine, or what a machine has: each in millionths of its unit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Room {
+pub struct Resources {
     /// Processors.
     pub cores: i64,
     /// Accelerators.
-    pub cards: i64,
+    pub accelerators: i64,
     /// Memory in GB.
-    pub ram: i64,
+    pub memory: i64,
 }
 
-impl Room {
+impl Resources {
     /// From the decimal numbers of the wire.
-    pub fn new(cores: f64, cards: f64, ram_gb: f64) -> Room {
+    pub fn new(cores: f64, accelerators: f64, ram_gb: f64) -> Resources {
         let whole = |x: f64| (x * 1e6).round() as i64;
-        Room {
+        Resources {
             cores: whole(cores),
-            cards: whole(cards),
-            ram: whole(ram_gb),
+            accelerators: whole(accelerators),
+            memory: whole(ram_gb),
         }
     }
 
     /// Its amounts one after the other.
     pub fn amounts(&self) -> [i64; 3] {
-        [self.cores, self.cards, self.ram]
+        [self.cores, self.accelerators, self.memory]
     }
 
     /// Whether `need` fits into this room.
-    pub fn holds(&self, need: &Room) -> bool {
-        need.cores <= self.cores && need.cards <= self.cards && need.ram <= self.ram
+    pub fn holds(&self, need: &Resources) -> bool {
+        need.cores <= self.cores
+            && need.accelerators <= self.accelerators
+            && need.memory <= self.memory
     }
 
     /// How many tasks of `need` fit into this room.
-    pub fn count_of(&self, need: &Room) -> usize {
+    pub fn count_of(&self, need: &Resources) -> usize {
         let times = |have: i64, need: i64| {
             if need <= 0 {
                 usize::MAX
@@ -109,57 +111,57 @@
             }
         };
         times(self.cores, need.cores)
-            .min(times(self.cards, need.cards))
-            .min(times(self.ram, need.ram))
+            .min(times(self.accelerators, need.accelerators))
+            .min(times(self.memory, need.memory))
     }
 
     /// The most that fits into both.
-    pub fn least(&self, other: &Room) -> Room {
-        Room {
+    pub fn min(&self, other: &Resources) -> Resources {
+        Resources {
             cores: self.cores.min(other.cores),
-            cards: self.cards.min(other.cards),
-            ram: self.ram.min(other.ram),
+            accelerators: self.accelerators.min(other.accelerators),
+            memory: self.memory.min(other.memory),
         }
     }
 
     /// The same room `n` times.
-    pub fn times(&self, n: usize) -> Room {
+    pub fn times(&self, n: usize) -> Resources {
         let n = n as i64;
-        Room {
+        Resources {
             cores: self.cores.saturating_mul(n),
-            cards: self.cards.saturating_mul(n),
-            ram: self.ram.saturating_mul(n),
+            accelerators: self.accelerators.saturating_mul(n),
+            memory: self.memory.saturating_mul(n),
         }
     }
 }
 
-impl AddAssign for Room {
-    fn add_assign(&mut self, other: Room) {
+impl AddAssign for Resources {
+    fn add_assign(&mut self, other: Resources) {
         self.cores = self.cores.saturating_add(other.cores);
-        self.cards = self.cards.saturating_add(other.cards);
-        self.ram = self.ram.saturating_add(other.ram);
+        self.accelerators = self.accelerators.saturating_add(other.accelerators);
+        self.memory = self.memory.saturating_add(other.memory);
     }
 }
 
-impl SubAssign for Room {
-    fn sub_assign(&mut self, other: Room) {
+impl SubAssign for Resources {
+    fn sub_assign(&mut self, other: Resources) {
         self.cores = self.cores.saturating_sub(other.cores);
-        self.cards = self.cards.saturating_sub(other.cards);
-        self.ram = self.ram.saturating_sub(other.ram);
+        self.accelerators = self.accelerators.saturating_sub(other.accelerators);
+        self.memory = self.memory.saturating_sub(other.memory);
     }
 }
 
-impl Add for Room {
-    type Output = Room;
-    fn add(mut self, other: Room) -> Room {
+impl Add for Resources {
+    type Output = Resources;
+    fn add(mut self, other: Resources) -> Resources {
         self += other;
         self
     }
 }
 
-impl Sub for Room {
-    type Output = Room;
-    fn sub(mut self, other: Room) -> Room {
+impl Sub for Resources {
+    type Output = Resources;
+    fn sub(mut self, other: Resources) -> Resources {
         self -= other;
         self
     }
--- a/tests/concurrent_failures.rs
+++ b/tests/concurrent_failures.rs
@@ -194,7 +194,7 @@
     });
 }
 
-/// Copies of reports from before some tasks began reach every controller some time after a new leader began, while the
+/// Copies of heartbeats from before some tasks began reach every controller some time after a new leader began, while the
 /// machines of these tasks hang, or reach nobody, so that nothing newer is heard of them.
 #[test]
 fn old_reports_reach_every_controller_just_as_a_new_leader_begins_or_after_it_acted() {
@@ -707,7 +707,7 @@
 }
 
 // Guards against a restart of all controllers that starts again, or stops, what its workers run on: whoever comes back when,
-// while the state service is slow or refuses one, and old reports come once more.
+// while the state service is slow or refuses one, and old heartbeats come once more.
 #[test]
 fn after_a_full_restart_what_runs_is_neither_started_again_nor_stopped() {
     for (slow_s, refused, back_after) in [
--- a/tests/support/world/worker.rs
+++ b/tests/support/world/worker.rs
@@ -1,4 +1,4 @@
-//! A worker: it reports, executes orders, runs tasks and keeps its lease.
+//! A worker: it reports, executes commands, runs tasks and keeps its lease.
 
 use super::super::invariants::Place;
 use super::super::sim::within;
@@ -29,7 +29,7 @@
         futures_lite::future::or(beats, self.live(&worker)).await;
     }
 
-    /// Lets tasks go on, and kills them when the lease is over.
+    /// Lets tasks go on, and kills them when the lease has ended.
     async fn live(&self, worker: &Worker) {
         loop {
             let changed = worker.changed.listen();
@@ -45,7 +45,7 @@
         }
     }
 
-    /// When a task has its image or ends, or the lease is over.
+    /// When a task has its image or ends, or the lease has ended.
     fn next_event(&self, worker: &Worker) -> u64 {
         let tasks = worker.tasks.borrow();
         let of_tasks = tasks.values().map(|run| run.at).min();
@@ -56,7 +56,7 @@
         worker.renewed.get() + (self.deployment.lease_s * 1e6) as u64
     }
 
-    /// Where the machine hung, its tasks stood still as well.
+    /// Where the machine hung, its tasks was paused as well.
     fn note_standstill(&self, worker: &Worker) {
         let still_for = self.sim.still_for(machine_host(&worker.name));
         let gap = still_for - worker.still_for.replace(still_for);
@@ -207,7 +207,7 @@
         }
     }
 
-    /// A copy of a report may arrive again later, or is kept for the next leader.
+    /// A copy of a heartbeat may arrive again later, or is kept for the next leader.
     pub(super) fn copy(&self, node: usize, body: &str) {
         if let Some(kept) = &mut *self.kept_for_next.borrow_mut() {
             kept.push(body.to_owned());
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Delivers an old report to a controller.
+    /// Delivers an old heartbeat to a controller.
     pub fn send_copy(&self, node: usize, body: String, after_s: f64) {
         let sim = self.sim.clone();
         self.sim.start(self.sim.next_client(), |_| async move {
@@ -242,7 +242,7 @@
     renewed: Cell<u64>,
     tasks: RefCell<BTreeMap<(String, u64), Run>>,
     changed: Event,
-    /// Microseconds that it stood still in all, as far as its tasks know.
+    /// Microseconds that it was paused in all, as far as its tasks know.
     still_for: Cell<u64>,
 }
 
