--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -45,7 +45,7 @@
     /// The controller's limit of sockets.
     #[arg(long, default_value_t = 6_000)]
     sockets: usize,
-    /// Writes a heartbeat with plots to this file.
+    /// Writes a report with plots to this file.
     #[arg(long, value_name = "FILE")]
     html: Option<PathBuf>,
 }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -38,7 +38,7 @@
 /// Versions in the order in which they are drawn, with their colours.
 const VERSIONS: [(&str, RGBColor); 2] = [("before", RED), ("now", BLUE)];
 
-/// Writes the heartbeat.
+/// Writes the report.
 pub fn write(path: &Path, all: &[Measurement]) -> io::Result<()> {
     let mut html = String::from(
         "<!doctype html><html><head><meta charset=\"utf-8\"><title>ravenhead under load</title></head><body>\n\
--- a/tests/support/world/worker.rs
+++ b/tests/support/world/worker.rs
@@ -56,7 +56,7 @@
         worker.renewed.get() + (self.deployment.lease_s * 1e6) as u64
     }
 
-    /// Where the machine hung, its tasks was paused as well.
+    /// Where the machine hung, its tasks were paused as well.
     fn note_standstill(&self, worker: &Worker) {
         let still_for = self.sim.still_for(machine_host(&worker.name));
         let gap = still_for - worker.still_for.replace(still_for);
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -329,7 +329,7 @@
         user.until(Method::Get, "/work/j-404", "", |status, _| status == 404)
             .await;
     }
-    // A view that is paused, alone among all that works.
+    // A view that does not advance, alone among all that works.
     let held = keys.borrow().epoch;
     keys.borrow_mut().held_at = Some(held);
     let id = "j-2";
