--- a/src/config/derived.rs
+++ b/src/config/derived.rs
@@ -81,10 +81,10 @@
     pub fn scheduler_config(&self, platform: &Platform) -> SchedulerConfig {
         let facts = &platform.facts;
         SchedulerConfig {
-            retry: Micros::millis(self.retry_ms.unwrap_or(DEFAULT_RETRY_MS)),
-            jitter: Micros::millis(self.jitter_ms.unwrap_or(DEFAULT_JITTER_MS)),
-            idle: self.idle_s.map(Micros::secs),
-            reserve: self.reserve,
+            retry_interval: Micros::millis(self.retry_ms.unwrap_or(DEFAULT_RETRY_MS)),
+            max_retry_jitter: Micros::millis(self.jitter_ms.unwrap_or(DEFAULT_JITTER_MS)),
+            idle_timeout: self.idle_s.map(Micros::secs),
+            reserved_places: self.reserve,
             max_offers_per_cycle: self
                 .max_offers_per_cycle
                 .unwrap_or_else(|| derive_max_offers(&facts.machine_limits)),
@@ -94,11 +94,11 @@
             recovery_report: self.recovery_report == Some(1),
             controllers: facts.size,
             heartbeat_interval: platform.heartbeat_interval(),
-            lease: Micros::from_secs_f64(facts.workers.lease_s),
-            cancel: Micros::from_secs_f64(facts.workers.cancel_s),
+            agent_lease: Micros::from_secs_f64(facts.workers.lease_s),
+            cancellation_timeout: Micros::from_secs_f64(facts.workers.cancel_s),
             list_lag: Micros::from_secs_f64(facts.cloud.list_lag_s),
-            wait_within: shortest_waits(&facts.objectives),
-            guarantee_within: guarantee_within(&facts.objectives),
+            max_start_delay: shortest_waits(&facts.objectives),
+            guarantee_start_delay: guarantee_within(&facts.objectives),
         }
     }
 }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -46,7 +46,7 @@
 fn platform_file_is_read_and_unknown_fields_are_ignored() {
     let p = Platform::parse(PLATFORM).expect("fine settings");
     let config = Settings::default().scheduler_config(&p);
-    assert_eq!(config.wait_within["live"], Micros::secs(12));
+    assert_eq!(config.max_start_delay["live"], Micros::secs(12));
     assert!(Settings::default().admission_cap(&p) > 1_000);
 }
 
--- a/src/leader/commit.rs
+++ b/src/leader/commit.rs
@@ -115,7 +115,7 @@
         let mut scheduler = self.term.scheduler.borrow_mut();
         scheduler.batch_dropped(attempt.batch);
         for job in ended {
-            scheduler.on_job_ended_elsewhere(&job);
+            scheduler.on_job_already_ended(&job);
         }
         Ok(())
     }
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -1,17 +1,18 @@
-//! The machines that a scheduling cycle may offer jobs to, indexed by their free resources, so that full ones are skipped.
+//! The machines that a scheduling cycle may offer jobs to, indexed by their free resources so that full machines are
+//! skipped.
 
 use super::machine::{MAX_TASKS_PER_MACHINE, Machine};
-use super::offers::Pass;
+use super::offers::OfferPass;
 use crate::ids::MachineId;
 use crate::units::Resources;
 use ravenhead_index::FirstFitByKind;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// What an index knows of a candidate: its free processors, accelerators and memory.
+/// A candidate's free processors, accelerators and memory, as stored in an index.
 type Amounts = [i64; 3];
 type Index = FirstFitByKind<3, KINDS>;
 
-/// Which candidates a search asks for; each kind has an index of its own.
+/// The kinds of candidates that a search can ask for. Each kind has its own index.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Kind {
     Any,
@@ -32,8 +33,8 @@
         Kind::UsesAccelerators,
     ];
 
-    /// The kind that a pass asks for, for a task of this size.
-    fn of(need: &Resources, pass: &Pass) -> Kind {
+    /// Returns the kind of candidates that a pass asks for, for tasks that need these resources.
+    fn of(need: &Resources, pass: &OfferPass) -> Kind {
         match (
             pass.accelerators_in_use,
             need.accelerators > 0,
@@ -48,15 +49,15 @@
     }
 }
 
-/// A machine as a scheduling cycle sees it.
+/// A machine as seen by one scheduling cycle.
 #[derive(Debug, Clone)]
 pub(super) struct Candidate {
     pub(super) id: MachineId,
     spot: bool,
     free: Resources,
-    /// All of its accelerators.
+    /// Total accelerators of the machine, in millionths.
     accelerators: i64,
-    /// Tasks that its next heartbeat will name.
+    /// Number of tasks that the machine's next heartbeat will report.
     tasks: usize,
 }
 
@@ -75,7 +76,8 @@
         self.free.accelerators < self.accelerators
     }
 
-    /// Whether a task fits; what takes no accelerators leaves so much for each free one beside others in use.
+    /// Returns whether a task fits. On a machine with accelerators in use, a task without accelerators must leave
+    /// `accelerator_headroom` for each free accelerator.
     pub(super) fn holds(&self, need: &Resources, accelerator_headroom: Resources) -> bool {
         if self.tasks >= MAX_TASKS_PER_MACHINE {
             return false;
@@ -84,12 +86,13 @@
             return self.free.holds(need);
         }
         let accelerator_unit = Resources::new(0.0, 1.0, 0.0).accelerators.max(1);
-        let kept =
+        let withheld =
             accelerator_headroom.times((self.free.accelerators / accelerator_unit).max(0) as usize);
-        (self.free - kept).holds(need)
+        (self.free - withheld).holds(need)
     }
 
-    /// What an index of a kind knows of it: it holds no task for which that says that it has too little.
+    /// Returns the candidate's entry in the index of a kind. A search excludes a candidate whose entry is too small for
+    /// a task.
     fn amounts(&self, kind: Kind) -> Amounts {
         let is_of_kind = match kind {
             Kind::Any => true,
@@ -109,13 +112,14 @@
 pub(super) struct Candidates {
     machines: Vec<Candidate>,
     index: Index,
-    /// The candidates that have an image or get it, for images that were asked for in this scheduling cycle.
+    /// Index of the candidates that have an image or are about to fetch it, for each image that this scheduling cycle
+    /// has searched for.
     by_image: HashMap<String, ImageIndex>,
 }
 
-/// The free resources of those candidates that have an image.
+/// Index of the free resources of the candidates that have an image.
 ///
-/// Guards against looking, for each job, at every machine that has its image, most of which are full by then.
+/// Prevents examining, for each job, every machine that has its image, most of which are already full.
 struct ImageIndex {
     has_image: Vec<bool>,
     index: Index,
@@ -151,29 +155,29 @@
     }
 }
 
-/// Which candidates one job is offered to in a scheduling cycle.
+/// The candidates that one job is offered to in a scheduling cycle.
 #[derive(Debug)]
 pub(super) enum SearchOrder {
-    /// All of them.
+    /// All candidates.
     All,
-    /// These, in id order.
+    /// The candidates at these positions, in id order.
     Some(Vec<usize>),
-    /// Those that have an image, and these.
+    /// The candidates that have an image, and those reserved for the job.
     WithImage {
-        /// The image.
+        /// Name of the image.
         image: String,
-        /// Those that were cleared for the job.
-        cleared: Vec<usize>,
+        /// Positions of the candidates with a pending reservation for the job, in id order.
+        reserved: Vec<usize>,
     },
 }
 
 impl Candidates {
-    /// The machines that take offers and have room for so much, in id order.
+    /// Creates the candidates: the machines, in id order, that take offers and whose free resources hold `smallest`.
     pub(super) fn new(machines: &BTreeMap<MachineId, Machine>, smallest: &Resources) -> Candidates {
-        let with_room = machines
+        let fitting = machines
             .iter()
             .filter(|(_, m)| m.takes_offers() && m.free().holds(smallest));
-        let machines: Vec<Candidate> = with_room.map(|(id, m)| Candidate::new(id, m)).collect();
+        let machines: Vec<Candidate> = fitting.map(|(id, m)| Candidate::new(id, m)).collect();
         Candidates {
             index: Index::new(machines.len()),
             machines,
@@ -181,10 +185,10 @@
         }
     }
 
-    /// How many steps searches for room took.
+    /// Returns the number of index nodes visited by searches so far.
     pub(super) fn steps(&self) -> usize {
-        let of_images = self.by_image.values().map(|image| image.index.visited());
-        (self.index.visited() + of_images.sum::<u64>()) as usize
+        let image_steps = self.by_image.values().map(|image| image.index.visited());
+        (self.index.visited() + image_steps.sum::<u64>()) as usize
     }
 
     pub(super) fn len(&self) -> usize {
@@ -195,25 +199,25 @@
         &self.machines[i]
     }
 
-    /// The position of a machine, if it is a candidate.
+    /// Returns the position of a machine, or `None` if it is not a candidate.
     pub(super) fn position(&self, id: &MachineId) -> Option<usize> {
         self.machines.binary_search_by(|m| m.id.cmp(id)).ok()
     }
 
-    /// One more task was placed on a candidate.
+    /// Records that a task was placed on a candidate.
     pub(super) fn place(&mut self, i: usize, need: &Resources) {
         self.machines[i].tasks += 1;
-        self.take(i, need);
+        self.reserve(i, need);
     }
 
-    /// Resources of a candidate are reserved.
-    pub(super) fn take(&mut self, i: usize, need: &Resources) {
+    /// Subtracts reserved resources from a candidate's free resources.
+    pub(super) fn reserve(&mut self, i: usize, need: &Resources) {
         self.machines[i].free -= *need;
         self.update_index(i);
     }
 
-    /// Resources of a candidate, which a placement had taken, are free again.
-    pub(super) fn take_back(&mut self, i: usize, need: &Resources) {
+    /// Undoes a placement on a candidate: its resources are free again.
+    pub(super) fn undo_placement(&mut self, i: usize, need: &Resources) {
         self.machines[i].free += *need;
         self.machines[i].tasks -= 1;
         self.update_index(i);
@@ -229,79 +233,81 @@
         }
     }
 
-    /// A candidate gets an image.
+    /// Records that a candidate has an image or is about to fetch it.
     pub(super) fn record_image(&mut self, i: usize, image: &str) {
-        if let Some(known) = self.by_image.get_mut(image) {
-            known.has_image[i] = true;
-            known.update_index(&self.machines, i);
+        if let Some(image_index) = self.by_image.get_mut(image) {
+            image_index.has_image[i] = true;
+            image_index.update_index(&self.machines, i);
         }
     }
 
-    /// Indexes the candidates that have an image, once a scheduling cycle.
+    /// Indexes the candidates that have an image, at most once in a scheduling cycle.
     pub(super) fn index_image(&mut self, image: &str, machines: &BTreeMap<MachineId, Machine>) {
         if self.by_image.contains_key(image) {
             return;
         }
         let has_image = |c: &Candidate| machines.get(&c.id).is_some_and(|m| m.has_image(image));
-        let known = ImageIndex {
+        let image_index = ImageIndex {
             has_image: self.machines.iter().map(has_image).collect(),
             index: Index::new(self.machines.len()),
         };
-        self.by_image.insert(image.to_owned(), known);
+        self.by_image.insert(image.to_owned(), image_index);
     }
 
-    /// The machines of a search order that have an image, or were cleared.
+    /// Restricts a search order to the candidates that have an image or are reserved for the job.
     pub(super) fn with_image(
         &self,
         order: &SearchOrder,
         image: &str,
-        cleared: Vec<usize>,
+        reserved: Vec<usize>,
     ) -> SearchOrder {
-        let SearchOrder::Some(some) = order else {
+        let SearchOrder::Some(positions) = order else {
             let image = image.to_owned();
-            return SearchOrder::WithImage { image, cleared };
+            return SearchOrder::WithImage { image, reserved };
         };
-        let known = self.by_image.get(image);
-        let has_image = |i: usize| known.is_some_and(|known| known.has_image[i]);
-        let ready = |i: &&usize| has_image(**i) || cleared.contains(*i);
-        SearchOrder::Some(some.iter().filter(ready).copied().collect())
+        let image_index = self.by_image.get(image);
+        let has_image = |i: usize| image_index.is_some_and(|image_index| image_index.has_image[i]);
+        let is_included = |i: &&usize| has_image(**i) || reserved.contains(*i);
+        SearchOrder::Some(positions.iter().filter(is_included).copied().collect())
     }
 
-    /// The next candidate at or after a place in this order that may have room for a task in this pass: its place in the
-    /// order, and which candidate it is.
+    /// Returns the next candidate, at or after a position in the search order, that may hold a task in this pass: its
+    /// position in the order and its position among the candidates.
     pub(super) fn next(
         &mut self,
         order: &SearchOrder,
         from: usize,
         need: &Resources,
-        pass: &Pass,
+        pass: &OfferPass,
     ) -> Option<(usize, usize)> {
         let kind = Kind::of(need, pass);
         match order {
-            SearchOrder::Some(some) => {
+            SearchOrder::Some(positions) => {
                 let is_of_kind = |i: usize| pass.spot.is_none_or(|s| s == self.machines[i].spot);
-                let rest = some.iter().enumerate().skip(from);
+                let rest = positions.iter().enumerate().skip(from);
                 let mut of_kind = rest.filter(|(_, i)| is_of_kind(**i));
-                of_kind.next().map(|(place, i)| (place, *i))
+                of_kind.next().map(|(position, i)| (position, *i))
             }
             SearchOrder::All => {
                 let i = self.first_from(kind, from, need)?;
                 Some((i, i))
             }
-            SearchOrder::WithImage { image, cleared } => {
-                let known = self.by_image.get_mut(image);
+            SearchOrder::WithImage { image, reserved } => {
+                let image_index = self.by_image.get_mut(image);
                 let amounts = need.amounts();
-                let imaged = known.and_then(|k| k.first_from(&self.machines, kind, from, &amounts));
+                let with_image = image_index.and_then(|image_index| {
+                    image_index.first_from(&self.machines, kind, from, &amounts)
+                });
                 let is_of_kind = |i: &usize| self.machines[*i].amounts(kind) != Index::ABSENT_KEY;
-                let mut cleared = cleared.iter().copied().filter(|i| *i >= from);
-                let cleared = cleared.find(is_of_kind);
-                let i = imaged.into_iter().chain(cleared).min()?;
+                let mut reserved = reserved.iter().copied().filter(|i| *i >= from);
+                let reserved = reserved.find(is_of_kind);
+                let i = with_image.into_iter().chain(reserved).min()?;
                 Some((i, i))
             }
         }
     }
 
-    /// The first candidate of a kind at or after a position that fits.
+    /// Returns the first candidate of a kind, at or after a position, whose free resources hold `need`.
     fn first_from(&mut self, kind: Kind, from: usize, need: &Resources) -> Option<usize> {
         let machines = &self.machines;
         let need = need.amounts();
@@ -309,31 +315,32 @@
             .first_from(kind as usize, from, &need, |i| machines[i].amounts(kind))
     }
 
-    /// At most `size` candidates with room for a task, drawn at random, in id order; all of them where they are no more.
+    /// Returns up to `size` candidates that can hold a task, drawn at random, in id order. If there are no more than
+    /// `size` of them, returns all.
     ///
-    /// Guards against a sample that misses the few machines that fit, and against a sample that costs as much as offering
-    /// the job to everybody.
+    /// The sample is drawn only from machines that fit, as it could otherwise miss the few of them. Drawing it from the
+    /// index prevents it from costing as much as offering the job to every machine.
     pub(super) fn sample(
         &mut self,
         need: &Resources,
         size: usize,
         rng: &mut fastrand::Rng,
     ) -> Vec<usize> {
-        let kind = Kind::of(need, &Pass::default());
+        let kind = Kind::of(need, &OfferPass::default());
         let mut found = Vec::new();
-        let mut at = 0;
-        while let Some(i) = self.first_from(kind, at, need) {
+        let mut next = 0;
+        while let Some(i) = self.first_from(kind, next, need) {
             if found.len() == size {
                 return self.draw(kind, need, size, rng);
             }
             found.push(i);
-            at = i + 1;
+            next = i + 1;
         }
         found
     }
 
-    /// The first candidates with room after `size` places drawn at random; where that one was drawn before, the next. There
-    /// are more of them than are drawn.
+    /// Draws `size` candidates that can hold a task: each is the first one at or after a random position that was not
+    /// drawn before. There must be more than `size` of them.
     fn draw(
         &mut self,
         kind: Kind,
@@ -345,8 +352,8 @@
         for _ in 0..size {
             let mut from = rng.usize(..self.machines.len());
             loop {
-                let after = self.first_from(kind, from, need);
-                let Some(i) = after.or_else(|| self.first_from(kind, 0, need)) else {
+                let at_or_after = self.first_from(kind, from, need);
+                let Some(i) = at_or_after.or_else(|| self.first_from(kind, 0, need)) else {
                     break;
                 };
                 if drawn.insert(i) {
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -1,71 +1,75 @@
-//! Consolidation: services scattered over half-empty machines are moved together, one at a time, so that machines
-//! can be terminated. Offers gather load on low ids only as tasks arrive; services stay where they once were placed.
+//! Consolidation: moves the replicas of services that are scattered over half-empty machines together, one at a time,
+//! so that machines can be terminated. Offers concentrate load on machines with low ids only as tasks arrive; services
+//! stay on the machines where they were once placed.
 
 use super::events::SchedulerEvent;
 use super::job::{Job, StopReason};
 use super::job_spec::{JobSpec, Shape};
 use super::machine::{Machine, MachineState};
 use super::messages::TaskState;
-use super::offers::zone_takes;
+use super::offers::zone_allows;
 use super::reserve::Reserve;
 use super::{Scheduler, spec_of};
 use crate::ids::{MachineId, TaskId};
 use crate::units::{Micros, Resources};
 use std::collections::HashMap;
 
-/// Capacity must have been spare for so long before a machine is consolidated.
+/// Time for which there must have been spare capacity before a machine is consolidated.
 const MIN_SPARE_PERIOD: Micros = Micros::secs(30);
-/// Time between two moves of few replicas, so that no short while sees many of them down.
-const BETWEEN_MOVES: Micros = Micros::secs(30);
-/// A move takes a replica down for a second or two: of so many replicas one may move each second.
-const REPLICAS_PER_MOVE: u64 = 1_000;
-/// Of so many replicas one machine more may be consolidated at the same time.
+/// Maximum interval between two moves, used while there are few replicas: many of them must not be down within a short
+/// time.
+const MAX_MOVE_INTERVAL: Micros = Micros::secs(30);
+/// A move takes a replica down for a second or two. With this many replicas, one may be moved every second.
+const REPLICAS_PER_MOVE_PER_SECOND: u64 = 1_000;
+/// Number of replicas for which one more machine may be consolidated at the same time.
 const REPLICAS_PER_CONSOLIDATION: usize = 20;
-/// A moved task is at its new place within this.
+/// Time within which a moved task is placed on its new machine.
 const MOVE_TIMEOUT: Micros = Micros::secs(5);
-/// Targets examined in one plan.
+/// Maximum number of target machines examined in one plan.
 const MAX_TARGETS_EXAMINED: usize = 20_000;
-/// After its stop a task is reported gone within half a second, and its start is written in far less.
-const HANDOVER: Micros = Micros::millis(600);
+/// Time from stopping a task until its start elsewhere can be sent: its exit is reported within half a second, and its
+/// new placement is written in far less.
+const HANDOVER_TIME: Micros = Micros::millis(600);
 
 /// The state of consolidation.
 #[derive(Debug, Default)]
 pub(super) struct Consolidation {
-    /// Since when there was always spare capacity.
+    /// Since when there has been spare capacity without interruption.
     spare_since: Option<Micros>,
     /// When a task was last moved.
     moved_at: Micros,
-    /// Replicas of services, as of the last plan.
+    /// Number of placed replicas of services, as of the last plan.
     replicas: usize,
 }
 
 impl Consolidation {
-    fn between_moves(&self) -> Micros {
+    fn move_interval(&self) -> Micros {
         let replicas = self.replicas.max(1) as u64;
-        BETWEEN_MOVES.min(Micros::secs(REPLICAS_PER_MOVE).scaled(1, replicas))
+        MAX_MOVE_INTERVAL.min(Micros::secs(REPLICAS_PER_MOVE_PER_SECOND).scaled(1, replicas))
     }
 
-    /// Whether capacity has been spare for long enough, counted from now on if it was not, and the last move is past.
+    /// Returns whether there has been spare capacity for long enough and the last move is long enough ago. Starts the
+    /// spare period if it is not running.
     fn is_due(&mut self, now: Micros) -> bool {
         let since = *self.spare_since.get_or_insert(now);
-        now.since(since) >= MIN_SPARE_PERIOD && now.since(self.moved_at) >= self.between_moves()
+        now.since(since) >= MIN_SPARE_PERIOD && now.since(self.moved_at) >= self.move_interval()
     }
 }
 
-/// Machines with free resources by the images that they have, and what is reserved of these in this plan.
+/// Machines with free resources, by cached image, and the resources that this plan has reserved on them.
 struct Targets<'a> {
     by_image: HashMap<&'a str, Vec<(&'a MachineId, &'a Machine)>>,
     reserved: HashMap<&'a MachineId, Resources>,
-    remaining: usize,
+    remaining_checks: usize,
 }
 
 impl Scheduler {
-    /// Picks machines to consolidate, or cancels that when their resources are needed after all.
+    /// Selects machines to consolidate, and cancels the consolidation of those whose resources are needed after all.
     pub(super) fn plan_consolidation(&mut self, reserve: Option<&Reserve>, now: Micros) {
-        // A task that is being moved waits as well; it must not end the consolidation that it comes from.
-        let waits = |j: &Job| j.waiting() > 0 && j.moving_until <= now && !j.crash_looping;
+        // A task that is being moved also waits, but must not cancel the consolidation of the machine that it leaves.
+        let is_waiting = |j: &Job| j.waiting() > 0 && j.moving_until <= now && !j.crash_looping;
         self.count_steps(self.job_index.waiting_count() + self.jobs.len());
-        let waiting = self.open_jobs().any(waits);
+        let waiting = self.jobs_with_waiting_tasks().any(is_waiting);
         let services = self
             .jobs
             .values()
@@ -76,7 +80,7 @@
             self.consolidation.spare_since = None;
             return;
         }
-        // Nothing is moved while a controller is unreachable; but one lost ping does not reset the spare period.
+        // Nothing is moved while a controller is unreachable, but a single lost ping does not reset the spare period.
         if !self.failure_detector.is_stable() {
             return;
         }
@@ -94,7 +98,8 @@
         }
     }
 
-    /// Cancels the consolidation of machines that are needed or can't be emptied. Returns how many others go on.
+    /// Cancels the consolidation of machines that are needed or can't be emptied. Returns the number of machines still
+    /// being consolidated.
     fn review_consolidating(&mut self, waiting: bool) -> usize {
         let consolidating = self.machines.iter().filter(|(_, m)| m.consolidating);
         let consolidating: Vec<MachineId> = consolidating.map(|(id, _)| id.clone()).collect();
@@ -120,7 +125,7 @@
         in_progress
     }
 
-    /// Whether nothing that a machine still holds can be moved any more.
+    /// Returns whether a machine still has tasks, none of which is stopping or can be moved.
     fn is_blocked(&self, id: &MachineId, targets: &mut Targets<'_>) -> bool {
         let reserved = self.machines.get(id).map(|m| m.reserved.keys());
         let mut reserved = reserved.into_iter().flatten().peekable();
@@ -138,14 +143,14 @@
         }
     }
 
-    /// The machines with the fewest services, the highest ids first among equals, if all that they hold are services
-    /// that run and would fit elsewhere, the reserve untouched.
+    /// Returns machines whose tasks are all running service replicas that fit on other machines without using the
+    /// reserve. Prefers the machines with the fewest tasks, and among equals those with the highest ids.
     fn machines_to_consolidate(
         &self,
         reserve: Option<&Reserve>,
         max_machines: usize,
     ) -> Vec<MachineId> {
-        let mut by_load: Vec<(&MachineId, &Machine)> = self
+        let mut by_task_count: Vec<(&MachineId, &Machine)> = self
             .machines
             .iter()
             .rev()
@@ -153,52 +158,53 @@
                 m.state == MachineState::Ready && !m.is_empty() && m.unexpected_tasks.is_empty()
             })
             .collect();
-        by_load.sort_by_key(|(_, m)| m.reserved.len());
+        by_task_count.sort_by_key(|(_, m)| m.reserved.len());
         let mut targets = self.targets();
         let mut chosen: Vec<MachineId> = Vec::new();
-        // What is left after the reserve; counted once, as services are much of one size.
-        let mut spare: Option<usize> = None;
-        for (id, m) in by_load {
-            if chosen.len() >= max_machines || targets.remaining == 0 {
+        // Free places beyond the reserve. Counted once, as the replicas of services are of similar size.
+        let mut spare_places: Option<usize> = None;
+        for (id, m) in by_task_count {
+            if chosen.len() >= max_machines || targets.remaining_checks == 0 {
                 break;
             }
             let first = m.reserved.keys().next();
             let Some(spec) = first.and_then(|t| spec_of(&self.jobs, &t.job)) else {
                 continue;
             };
-            let left = *spare.get_or_insert_with(|| {
-                let keep = reserve.map_or(0, |r| r.places);
-                self.open_places(&spec).saturating_sub(keep)
+            let remaining_places = *spare_places.get_or_insert_with(|| {
+                let reserved_places = reserve.map_or(0, |r| r.places);
+                self.count_free_places(&spec)
+                    .saturating_sub(reserved_places)
             });
-            let own = m.free().count_of(&spec.need()).min(1_000);
-            let needed = m.reserved.len() + own;
-            if left < needed || targets.reserved.contains_key(id) {
+            let own_free_places = m.free().count_of(&spec.need()).min(1_000);
+            let needed = m.reserved.len() + own_free_places;
+            if remaining_places < needed || targets.reserved.contains_key(id) {
                 continue;
             }
-            let mut found = Vec::new();
+            let mut moves = Vec::new();
             for task in m.reserved.keys() {
                 let Some((target, need)) = self.find_target(id, task, &mut targets) else {
                     break;
                 };
                 *targets.reserved.entry(target).or_default() += need;
-                found.push((target, need));
+                moves.push((target, need));
             }
-            if found.len() == m.reserved.len() {
-                spare = Some(left - needed);
+            if moves.len() == m.reserved.len() {
+                spare_places = Some(remaining_places - needed);
                 chosen.push(id.clone());
                 continue;
             }
-            for (target, need) in found {
-                if let Some(room) = targets.reserved.get_mut(target) {
-                    *room -= need;
+            for (target, need) in moves {
+                if let Some(reserved) = targets.reserved.get_mut(target) {
+                    *reserved -= need;
                 }
             }
         }
         chosen
     }
 
-    /// Free places for such tasks on machines that take offers.
-    fn open_places(&self, spec: &JobSpec) -> usize {
+    /// Returns the number of free places for tasks of this spec on machines that take offers.
+    fn count_free_places(&self, spec: &JobSpec) -> usize {
         self.machines
             .values()
             .filter(|m| m.takes_offers() && spec.allows(&m.machine_type, &m.zone, m.spot))
@@ -209,8 +215,8 @@
     fn targets(&self) -> Targets<'_> {
         self.count_steps(self.machines.len());
         let mut by_image: HashMap<&str, Vec<(&MachineId, &Machine)>> = HashMap::new();
-        let with_room = |m: &Machine| m.takes_offers() && m.free().cores > 0;
-        for (id, m) in self.machines.iter().filter(|(_, m)| with_room(m)) {
+        let has_free_cores = |m: &Machine| m.takes_offers() && m.free().cores > 0;
+        for (id, m) in self.machines.iter().filter(|(_, m)| has_free_cores(m)) {
             for (image, _) in &m.images {
                 by_image.entry(image).or_default().push((id, m));
             }
@@ -218,85 +224,90 @@
         Targets {
             by_image,
             reserved: HashMap::new(),
-            remaining: MAX_TARGETS_EXAMINED,
+            remaining_checks: MAX_TARGETS_EXAMINED,
         }
     }
 
-    /// The first machine that would take the task without a fetch, and what the task needs.
+    /// Returns the first machine that would accept the task without an image fetch, and the resources that the task
+    /// needs.
     fn find_target<'a>(
         &self,
         from: &MachineId,
         task: &TaskId,
         targets: &mut Targets<'a>,
     ) -> Option<(&'a MachineId, Resources)> {
-        let job = self.movable(task)?;
-        let left = self.machines.get(from)?.zone.as_str();
+        let job = self.movable_job(task)?;
+        let from_zone = self.machines.get(from)?.zone.as_str();
         let need = job.spec.need();
         for (id, m) in targets.by_image.get(job.spec.image.as_str())? {
-            targets.remaining = targets.remaining.checked_sub(1)?;
+            targets.remaining_checks = targets.remaining_checks.checked_sub(1)?;
             let reserved = targets.reserved.get(id).copied().unwrap_or_default();
-            if *id != from && self.would_take(job, id, m, &(need + reserved), left) {
+            if *id != from && self.accepts_move(job, id, m, &(need + reserved), from_zone) {
                 return Some((*id, need));
             }
         }
         None
     }
 
-    /// The job of a task that may be moved: a replica that runs.
-    fn movable(&self, task: &TaskId) -> Option<&Job> {
+    /// Returns the job of a task that can be moved, which must be a running service replica.
+    fn movable_job(&self, task: &TaskId) -> Option<&Job> {
         let job = self.jobs.get(&task.job)?;
         let p = job.placement(task.index)?;
-        let runs =
+        let is_running =
             p.reported_state == Some(TaskState::Running) && p.stopping.is_none() && p.committed;
-        (job.spec.shape == Shape::Service && runs && !job.ending).then_some(job)
+        (job.spec.shape == Shape::Service && is_running && !job.ending).then_some(job)
     }
 
-    /// Whether a machine with these resources free would take a task of the job, which leaves another zone, without a fetch.
-    fn would_take(
+    /// Returns whether a machine would accept a task of the job that leaves the zone `from_zone`, without an image
+    /// fetch and with these resources free.
+    fn accepts_move(
         &self,
         job: &Job,
         id: &MachineId,
         m: &Machine,
-        room: &Resources,
-        left: &str,
+        required: &Resources,
+        from_zone: &str,
     ) -> bool {
         m.takes_offers()
-            && m.free().holds(room)
+            && m.free().holds(required)
             && m.has_image(&job.spec.image)
             && job.allows(&m.machine_type, &m.zone, m.spot)
             && !job.failed_on.contains(id)
-            && zone_takes(job, &m.zone, 0, Some(left))
+            && zone_allows(job, &m.zone, 0, Some(from_zone))
     }
 
-    /// At a heartbeat of a machine that is being consolidated: the task to stop now, if a machine that would take it reports
-    /// next just when the task's exit is known, so that the replica is down as shortly as can be.
+    /// Returns the task to stop in the answer to a heartbeat of a machine that is being consolidated. A task is moved
+    /// only if a target machine is expected to send its next heartbeat just when the task's exit is known, which keeps
+    /// the replica's downtime as short as possible.
     pub(super) fn task_to_move(&mut self, from: &MachineId, now: Micros) -> Option<TaskId> {
         let m = self.machines.get(from)?;
         if !m.consolidating
-            || now.since(self.consolidation.moved_at) < self.consolidation.between_moves()
+            || now.since(self.consolidation.moved_at) < self.consolidation.move_interval()
         {
             return None;
         }
         let task = m.reserved.keys().next()?.clone();
-        let job = self.movable(&task)?;
+        let job = self.movable_job(&task)?;
         let need = job.spec.need();
-        let earliest = self.config.heartbeat_interval.scaled(3, 4);
-        let quiet = |m: &Machine| now.since(m.reported_at);
-        let in_time = |m: &Machine| {
-            quiet(m) + HANDOVER <= earliest
-                && quiet(m) + HANDOVER.scaled(2, 1) >= earliest.scaled(1, 2)
+        let min_heartbeat_gap = self.config.heartbeat_interval.scaled(3, 4);
+        let since_report = |m: &Machine| now.since(m.reported_at);
+        let reports_in_time = |m: &Machine| {
+            since_report(m) + HANDOVER_TIME <= min_heartbeat_gap
+                && since_report(m) + HANDOVER_TIME.scaled(2, 1) >= min_heartbeat_gap.scaled(1, 2)
         };
-        let takes = |(id, other): &(&MachineId, &Machine)| {
-            *id != from && in_time(other) && self.would_take(job, id, other, &need, &m.zone)
+        let is_target = |(id, other): &(&MachineId, &Machine)| {
+            *id != from
+                && reports_in_time(other)
+                && self.accepts_move(job, id, other, &need, &m.zone)
         };
         self.count_steps(self.machines.len());
-        let takers = self.machines.iter().filter(takes);
-        let target = takers
-            .max_by_key(|(_, m)| quiet(m))
+        let targets = self.machines.iter().filter(is_target);
+        let target = targets
+            .max_by_key(|(_, m)| since_report(m))
             .map(|(id, _)| id.clone())?;
         self.consolidation.moved_at = now;
         let job = self.jobs.get_mut(&task.job)?;
-        // The place is reserved until the task has had time to start there.
+        // The resources stay reserved until the task has had time to start there.
         job.moving_until = now + MOVE_TIMEOUT;
         job.reservations.push((target, job.moving_until));
         self.job_index.add_pending_reservation(&task.job);
--- a/src/scheduler/failure_detection/mod.rs
+++ b/src/scheduler/failure_detection/mod.rs
@@ -67,7 +67,7 @@
             heartbeat_interval: config.heartbeat_interval,
             heartbeat,
             two_reconnects: heartbeat + WORKER_RECONNECT.scaled(2, 1),
-            lease_expiry: config.lease + heartbeat,
+            lease_expiry: config.agent_lease + heartbeat,
         }
     }
 }
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -213,7 +213,7 @@
             let removed = self.machines.remove(id);
             let known = self.known_images.remove(id).is_some();
             if known || removed.is_some_and(|m| !m.written_images.is_empty()) {
-                self.new_images.insert(id.clone());
+                self.unwritten_images.insert(id.clone());
             }
             if self.terminated.insert(id.clone()) {
                 self.terminated_order.push_back(id.clone());
@@ -272,7 +272,7 @@
 
     /// Terminates machines that did not hear of a cancellation in time, together with the cancelled task.
     pub fn overdue_cancels(&mut self, unix_time: u64) -> Vec<MachineId> {
-        let patience = self.config.cancel.scaled(3, 5).0;
+        let patience = self.config.cancellation_timeout.scaled(3, 5).0;
         let mut overdue = BTreeMap::new();
         for job in self.jobs.values() {
             let Some(end) = job.end else { continue };
@@ -352,9 +352,9 @@
             .machine_types
             .get(&m.machine_type)
             .map_or(Micros::ZERO, MachineType::boot);
-        let kept_ready = self.demand.is_recent_for(m.spot, self.latest);
+        let kept_ready = self.demand.is_recent_for(m.spot, self.last_event_at);
         self.config
-            .idle
+            .idle_timeout
             .unwrap_or(boot.scaled(if kept_ready { 8 } else { 1 }, 8))
     }
 
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -19,7 +19,7 @@
 impl Scheduler {
     /// Takes in a heartbeat that the controller `via` passed on, or that came to this one.
     pub fn on_heartbeat(&mut self, r: &Heartbeat, via: &str, now: Micros) -> HeartbeatOutcome {
-        self.latest = now;
+        self.last_event_at = now;
         // Late heartbeats of terminated machines must not bring them back.
         if self.terminated.contains(&r.machine) {
             return HeartbeatOutcome::default();
@@ -132,7 +132,7 @@
         via: &str,
         now: Micros,
     ) {
-        let lease = self.config.lease;
+        let lease = self.config.agent_lease;
         let window = lease + self.config.heartbeat_interval.scaled(2, 1);
         let Some(m) = self.machines.get_mut(&r.machine) else {
             return;
--- a/src/scheduler/job_index.rs
+++ b/src/scheduler/job_index.rs
@@ -1,7 +1,7 @@
-//! Which jobs and tasks a scheduling cycle must examine, so that it need not examine all.
+//! Indexes of the jobs and tasks that a scheduling cycle must examine, so that it need not examine all of them.
 //!
-//! Each set may hold more than it says, never less: readers check the job or the task itself, and stale entries are
-//! dropped when they are met.
+//! Each set may contain stale entries but never lacks a valid one: readers check the job or the task itself, and drop
+//! stale entries when they come across them.
 
 use super::job::Job;
 use crate::ids::{JobId, TaskId};
@@ -12,14 +12,14 @@
 #[derive(Debug, Default)]
 pub(super) struct JobIndex {
     waiting: BTreeSet<JobId>,
-    /// Jobs with waiting tasks at their next try, or earlier.
-    tries: BTreeSet<(Micros, JobId)>,
+    /// Jobs with waiting tasks by the time of their next retry, or an earlier time.
+    retries: BTreeSet<(Micros, JobId)>,
     pending_reservations: BTreeSet<JobId>,
     stopping: BTreeSet<TaskId>,
 }
 
 impl JobIndex {
-    /// The number of a job's waiting tasks may have changed.
+    /// Updates the index after the number of a job's waiting tasks may have changed.
     pub(super) fn update_waiting(&mut self, job: &Job) {
         if job.waiting() == 0 {
             self.waiting.remove(&job.spec.id);
@@ -29,22 +29,23 @@
         }
     }
 
-    /// The next try of a job with waiting tasks may be sooner than before.
+    /// Schedules a job with waiting tasks at its next retry, which may be earlier than before.
     pub(super) fn schedule(&mut self, job: &Job) {
-        self.tries.insert((job.next_try, job.spec.id.clone()));
+        self.retries.insert((job.next_try, job.spec.id.clone()));
     }
 
-    /// Returns the jobs to be offered now, which must be scheduled again afterwards, and the number of entries examined.
-    pub(super) fn due(
+    /// Removes and returns the jobs that are due to be offered, and the number of entries examined. The caller must
+    /// schedule these jobs again after offering them.
+    pub(super) fn take_due(
         &mut self,
         jobs: &BTreeMap<JobId, Job>,
         now: Micros,
     ) -> (BTreeSet<JobId>, usize) {
         let mut due = BTreeSet::new();
         let mut steps = 0;
-        while let Some((at, _)) = self.tries.first()
+        while let Some((at, _)) = self.retries.first()
             && *at <= now
-            && let Some((_, id)) = self.tries.pop_first()
+            && let Some((_, id)) = self.retries.pop_first()
         {
             steps += 1;
             let Some(job) = jobs.get(&id).filter(|j| j.waiting() > 0) else {
@@ -59,18 +60,18 @@
         (due, steps)
     }
 
-    /// A job is gone.
-    pub(super) fn forget(&mut self, id: &JobId) {
+    /// Removes a job.
+    pub(super) fn remove(&mut self, id: &JobId) {
         self.waiting.remove(id);
         self.pending_reservations.remove(id);
     }
 
-    /// Jobs with waiting tasks.
+    /// Returns the jobs with waiting tasks.
     pub(super) fn waiting(&self) -> impl Iterator<Item = &JobId> {
         self.waiting.iter()
     }
 
-    /// How many jobs have waiting tasks.
+    /// Returns the number of jobs with waiting tasks.
     pub(super) fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
@@ -80,7 +81,7 @@
         self.pending_reservations.insert(id.clone());
     }
 
-    /// Jobs with pending reservations.
+    /// Returns the jobs with pending reservations.
     pub(super) fn pending_reservations(&self) -> impl Iterator<Item = &JobId> {
         self.pending_reservations.iter()
     }
@@ -90,12 +91,12 @@
         self.stopping.insert(task);
     }
 
-    /// Tasks that are being stopped.
+    /// Returns the tasks that are being stopped.
     pub(super) fn stopping(&self) -> impl Iterator<Item = &TaskId> {
         self.stopping.iter()
     }
 
-    /// Drops stale entries.
+    /// Removes stale entries from the pending reservations and the tasks being stopped.
     pub(super) fn prune(&mut self, jobs: &BTreeMap<JobId, Job>) {
         self.pending_reservations
             .retain(|id| jobs.get(id).is_some_and(|j| !j.reservations.is_empty()));
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,7 +1,8 @@
-//! The pure core: events and a time go in, writes, commands and fleet plans come out.
+//! The scheduler's pure core: takes events with their time, and returns writes, agent commands and fleet plans.
 //!
-//! It has no I/O, no clock and no randomness of its own. Which commands workers get follows from what the
-//! controller reports as written: a start is given out only after its placement was, a `clear` only after the finish.
+//! It has no I/O, clock or source of randomness of its own. Agent commands depend on what the controller reports as
+//! written: the start of a task is sent only after its placement was written, and `clear` only after its completion
+//! was.
 
 mod candidates;
 mod commands;
@@ -52,56 +53,57 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::rc::Rc;
 
-/// The settings of operators and platform that the scheduler uses.
+/// The scheduler's configuration, derived from the operator's settings and the platform file.
 #[derive(Debug, Clone)]
 pub struct SchedulerConfig {
     /// Interval at which waiting jobs are offered again.
-    pub retry: Micros,
-    /// Maximum of the random time added to it.
-    pub jitter: Micros,
-    /// How long an empty machine is kept; none: an eighth of the time another would take to boot.
-    pub idle: Option<Micros>,
-    /// Free places kept for classes that can't wait for a boot; none: derived from their arrivals.
-    pub reserve: Option<u32>,
-    /// Maximum of offers in one scheduling cycle; beyond, jobs are offered to samples of machines.
+    pub retry_interval: Micros,
+    /// Upper bound of the random time added to the retry interval.
+    pub max_retry_jitter: Micros,
+    /// Time after which an empty machine is terminated. `None`: an eighth of the provisioning time of a replacement.
+    pub idle_timeout: Option<Micros>,
+    /// Number of free places kept for classes that can't wait for a machine to be provisioned. `None`: derived from the
+    /// arrivals of their jobs.
+    pub reserved_places: Option<u32>,
+    /// Maximum number of offers in one scheduling cycle. Beyond it, jobs are offered to samples of the machines.
     pub max_offers_per_cycle: usize,
-    /// Maximum of machines provisioned in one scheduling cycle.
+    /// Maximum number of machines provisioned in one scheduling cycle.
     pub max_scale_out_per_cycle: usize,
-    /// Number of controllers.
+    /// Number of controllers in the cluster.
     pub controllers: usize,
-    /// Interval of heartbeats.
+    /// Interval at which agents send heartbeats.
     pub heartbeat_interval: Micros,
-    /// Lease of workers: how long they run tasks without an answer.
-    pub lease: Micros,
+    /// Time for which agents keep running tasks without an answer from a controller.
+    pub agent_lease: Micros,
     /// Time within which a cancelled task must have stopped.
-    pub cancel: Micros,
-    /// How old the machine list may be.
+    pub cancellation_timeout: Micros,
+    /// Maximum age of the cloud's machine list.
     pub list_lag: Micros,
-    /// Classes whose tasks are to start within a time, and that time.
-    pub wait_within: BTreeMap<String, Micros>,
+    /// Maximum time until a task starts, by job class. Classes without an objective for this are absent.
+    pub max_start_delay: BTreeMap<String, Micros>,
     /// Whether the progress of a new leader's recovery is logged.
     pub recovery_report: bool,
-    /// Whether work within a guarantee is to start within a time.
-    pub guarantee_within: Option<Micros>,
+    /// Time within which work covered by a team's guarantee is to start. `None`: there is no such objective.
+    pub guarantee_start_delay: Option<Micros>,
 }
 
-/// A team's guarantee and limit; `None` where there is none.
+/// A team's guarantee and limit. `None` means that the resource is not guaranteed, or not limited.
 #[derive(Debug, Clone, Default)]
 pub struct TeamQuota {
-    /// Guaranteed processors and accelerators.
+    /// Guaranteed processors and accelerators, in millionths.
     pub guarantee: [Option<i64>; 2],
-    /// Maximum of processors and accelerators.
+    /// Maximum processors and accelerators in use, in millionths.
     pub limit: [Option<i64>; 2],
 }
 
-/// Another controller, as the leader sees it.
+/// Another controller, as seen by the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControllerStatus {
-    /// Its name.
+    /// Node name of the controller.
     pub node: String,
-    /// Its zone.
+    /// Zone that the controller runs in.
     pub zone: String,
-    /// Whether it answered lately.
+    /// Whether the controller answered recent pings.
     pub is_reachable: bool,
 }
 
@@ -110,11 +112,11 @@
     config: SchedulerConfig,
     token: FencingToken,
     started_at: Micros,
-    /// The time of the latest heartbeat or scheduling cycle.
-    latest: Micros,
-    /// Lower bound of new attempts.
+    /// Time of the latest heartbeat or scheduling cycle.
+    last_event_at: Micros,
+    /// Lower bound of attempt numbers given in this term.
     min_attempt: u64,
-    /// The time of day, in microseconds, as of the last plan of the fleet.
+    /// Wall-clock time, in microseconds, of the last fleet plan.
     unix_time: u64,
     rng: fastrand::Rng,
     teams: BTreeMap<String, TeamQuota>,
@@ -124,19 +126,20 @@
     team_used: BTreeMap<String, Resources>,
     /// Which jobs are within their team's guarantee, as of the last scheduling cycle.
     guarantees: quota::Guarantees,
-    /// Which jobs and tasks a scheduling cycle must examine.
+    /// Jobs and tasks that a scheduling cycle must examine.
     job_index: job_index::JobIndex,
-    /// What work without accelerators leaves for each free one, by its priority, as of the last scheduling cycle.
+    /// Processors and memory that tasks without accelerators leave for each free accelerator, by the priority of these
+    /// tasks, as of the last scheduling cycle.
     accelerator_headroom: BTreeMap<Priority, Resources>,
-    /// Chunks to be written, those of the highest priority first.
+    /// Chunks to write, in descending order of priority.
     dirty: BTreeSet<writes::ChunkPlace>,
-    /// Chunks whose changes wait for others of their job, as writes are short.
+    /// Chunks whose changes are deferred, to be written together with others of the same job while writes are scarce.
     deferred: writes::Deferred,
     finished: BTreeSet<JobId>,
     terminal: BTreeSet<JobId>,
-    /// Machines whose images are to be written down.
-    new_images: BTreeSet<MachineId>,
-    /// Images of machines that have not reported to this leader yet.
+    /// Machines whose cached images have yet to be written to the store.
+    unwritten_images: BTreeSet<MachineId>,
+    /// Recorded images of machines that have not yet sent a heartbeat to this leader.
     known_images: BTreeMap<MachineId, Vec<CachedImage>>,
     terminated: HashSet<MachineId>,
     terminated_order: VecDeque<MachineId>,
@@ -148,16 +151,16 @@
     failure_detector: failure_detection::FailureDetector,
     recovery: Option<recovery::Recovery>,
     rebuild: Option<rebuild::Rebuild>,
-    /// What is to be logged, as it happened.
+    /// Events to log, in the order in which they occurred.
     events: Vec<SchedulerEvent>,
-    /// Offers made in the last scheduling cycle, for bounding and for tests.
+    /// Number of offers made in the last scheduling cycle. Bounds preemption searches, and is read by tests.
     pub offers_made: usize,
-    /// Steps of loops over machines, jobs and tasks so far, for tests that bound the work.
+    /// Number of loop iterations over machines, jobs and tasks so far, for tests that bound the work.
     steps: Cell<u64>,
 }
 
 impl Scheduler {
-    /// A scheduler that knows nothing yet.
+    /// Creates a scheduler without any machines, jobs or machine types.
     pub fn new(
         config: SchedulerConfig,
         teams: BTreeMap<String, TeamQuota>,
@@ -169,7 +172,7 @@
             config,
             token,
             started_at: now,
-            latest: now,
+            last_event_at: now,
             min_attempt: 0,
             unix_time: 0,
             rng: fastrand::Rng::with_seed(seed),
@@ -185,7 +188,7 @@
             deferred: writes::Deferred::default(),
             finished: BTreeSet::new(),
             terminal: BTreeSet::new(),
-            new_images: BTreeSet::new(),
+            unwritten_images: BTreeSet::new(),
             known_images: BTreeMap::new(),
             terminated: HashSet::new(),
             terminated_order: VecDeque::new(),
@@ -203,29 +206,29 @@
         }
     }
 
-    /// The fencing token of the leader term.
+    /// Returns the fencing token of the leader term.
     pub fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// Returns what happened since the last call and is to be logged: by level, and within one as it happened.
+    /// Returns the events to log since the last call, sorted by level and then in the order in which they occurred.
     pub fn take_events(&mut self) -> Vec<SchedulerEvent> {
         let mut events = std::mem::take(&mut self.events);
         events.sort_by_key(SchedulerEvent::level);
         events
     }
 
-    /// Steps of loops over machines, jobs and tasks so far, offers and searches included.
+    /// Returns the number of loop iterations over machines, jobs and tasks so far, including offers and searches.
     pub fn steps(&self) -> u64 {
         self.steps.get() + self.offers_made as u64
     }
 
-    /// A loop goes over so many machines, jobs or tasks.
+    /// Counts `n` iterations of a loop over machines, jobs or tasks.
     fn count_steps(&self, n: usize) {
         self.steps.set(self.steps.get() + n as u64);
     }
 
-    /// Takes in the machine types that the cloud offers now.
+    /// Replaces the machine types with those that the cloud offers, and updates the resources of machines.
     pub fn set_machine_types(&mut self, machine_types: &[MachineType]) {
         self.machine_types = machine_types
             .iter()
@@ -238,7 +241,7 @@
         }
     }
 
-    /// Adds a job, new or inherited with what was written of its run.
+    /// Adds a job, either new or inherited from an earlier leader with its recorded chunks.
     pub fn add_job(
         &mut self,
         record: &JobRecord,
@@ -260,20 +263,20 @@
             }
             job.chunks.insert(number, chunk);
         }
-        let all_done = job.done == job.spec.tasks;
+        let is_complete = job.done == job.spec.tasks;
         self.guarantees.add(&job);
         self.jobs.insert(id.clone(), job);
         self.update_waiting(&id);
         for (index, machine) in placed {
             self.reserve_on_machine(&id, index, &machine, now);
         }
-        if all_done && end.is_none() {
+        if is_complete && end.is_none() {
             self.finished.insert(id.clone());
         }
         self.check_terminal(&id);
     }
 
-    /// Ends a job, for its user or by this leader's decision.
+    /// Ends a job, at its user's request or by a decision of this leader.
     pub fn end_job(&mut self, id: &JobId, end: JobEnd) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -286,31 +289,32 @@
         self.guarantees.mark_stale(&job.spec.team);
         self.finished.remove(id);
         self.update_waiting(id);
-        self.drop_unwritten(id);
+        self.release_unwritten(id);
         self.check_terminal(id);
     }
 
-    /// A commit found that the job had ended: nothing of it may be started, though its outcome is not known yet.
-    pub fn on_job_ended_elsewhere(&mut self, id: &JobId) {
+    /// Handles a commit which found that the job has already ended: no task of it may be started, although its outcome
+    /// is not known yet.
+    pub fn on_job_already_ended(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.ending = true;
             self.guarantees.mark_stale(&job.spec.team);
             self.finished.remove(id);
             self.update_waiting(id);
-            self.drop_unwritten(id);
+            self.release_unwritten(id);
         }
     }
 
-    /// The number of a job's waiting tasks may have changed.
+    /// Updates the job index after the number of a job's waiting tasks may have changed.
     fn update_waiting(&mut self, id: &JobId) {
         match self.jobs.get(id) {
             Some(job) => self.job_index.update_waiting(job),
-            None => self.job_index.forget(id),
+            None => self.job_index.remove(id),
         }
     }
 
-    /// Takes back placements whose start can't have been sent, as they were not written.
-    fn drop_unwritten(&mut self, id: &JobId) {
+    /// Releases the placements of a job that are not written yet; no start of these tasks can have been sent.
+    fn release_unwritten(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let unwritten: Vec<u32> = live_tasks(job)
             .filter(|(_, p)| !p.committed)
@@ -321,7 +325,7 @@
         }
     }
 
-    /// Reserves a machine's resources for a task whose placement is in its chunk already.
+    /// Reserves a machine's resources for a task whose placement is already in its chunk.
     fn reserve_on_machine(&mut self, id: &JobId, index: u32, machine: &MachineId, now: Micros) {
         let known_since = self.started_at.max(now);
         let m = self
@@ -345,7 +349,7 @@
         m.reserve_resources(task, need, priority);
     }
 
-    /// Removes a placement, because its task is proven to be off its machine or was never sent there.
+    /// Removes a placement whose task is proven not to be on its machine, or was never sent there.
     fn release(&mut self, id: &JobId, index: u32) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -375,23 +379,24 @@
         }
         self.mark_dirty(id, index / CHUNK_SIZE);
         if placement.stopping == Some(StopReason::Preempted) {
-            self.wake_pending_reservations(&placement.machine);
+            self.requeue_pending_reservations(&placement.machine);
         }
         self.check_terminal(id);
     }
 
-    /// Makes the jobs with a pending reservation on a machine due, so that no other takes its resources first.
-    fn wake_pending_reservations(&mut self, machine: &MachineId) {
-        let mut woken = Vec::new();
+    /// Makes the jobs with a pending reservation on a machine due, so that no other job takes the freed resources
+    /// first.
+    fn requeue_pending_reservations(&mut self, machine: &MachineId) {
+        let mut requeued = Vec::new();
         for id in self.job_index.pending_reservations() {
             if let Some(job) = self.jobs.get_mut(id)
                 && job.reservations.iter().any(|(m, _)| m == machine)
             {
                 job.next_try = Micros::ZERO;
-                woken.push(id.clone());
+                requeued.push(id.clone());
             }
         }
-        for id in woken {
+        for id in requeued {
             if let Some(job) = self.jobs.get(&id) {
                 self.job_index.schedule(job);
             }
@@ -422,15 +427,15 @@
 
     /// Marks a chunk to be written.
     ///
-    /// Guards against the chunks of a job of tens of thousands of tasks going before a critical task's, because its name
-    /// comes first.
+    /// Chunks are ordered by priority first. Ordered by job id alone, the chunks of a job with tens of thousands of
+    /// tasks could be written before that of a critical task.
     fn mark_dirty(&mut self, id: &JobId, number: u32) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         if let Some(chunk) = job.chunks.get_mut(&number) {
             if !chunk.dirty {
-                chunk.changed_at = self.latest;
+                chunk.changed_at = self.last_event_at;
             }
             chunk.dirty = true;
             let place = writes::ChunkPlace::new(job.spec.priority, id, number);
@@ -439,7 +444,7 @@
         }
     }
 
-    /// Makes a job with waiting tasks due now.
+    /// Makes a job with waiting tasks due at once.
     pub(super) fn requeue(&mut self, id: &JobId, now: Micros) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.next_try = job.next_try.min(now);
@@ -449,11 +454,11 @@
 
     pub(super) fn record_image(&mut self, machine: &MachineId, spec: &JobSpec) {
         if let Some(m) = self.machines.get_mut(machine) {
-            let cache = self
+            let cache_gb = self
                 .machine_types
                 .get(&m.machine_type)
                 .map_or(f64::INFINITY, |f| f.cache_gb);
-            m.record_image(&spec.image, spec.image_gb, cache);
+            m.record_image(&spec.image, spec.image_gb, cache_gb);
         }
     }
 
@@ -468,7 +473,7 @@
     }
 }
 
-/// The tasks of a job that may be on machines.
+/// Returns the tasks of a job that may be on machines, with their placements.
 fn live_tasks(job: &Job) -> impl Iterator<Item = (u32, &Placement)> {
     job.chunks.iter().flat_map(|(number, chunk)| {
         chunk
@@ -478,7 +483,7 @@
     })
 }
 
-/// The spec of a job by its id.
+/// Returns the spec of a job.
 fn spec_of(jobs: &BTreeMap<JobId, Job>, id: &JobId) -> Option<Rc<JobSpec>> {
     jobs.get(id).map(|j| j.spec.clone())
 }
--- a/src/scheduler/offers.rs
+++ b/src/scheduler/offers.rs
@@ -1,4 +1,4 @@
-//! Offers: due jobs are offered to machines in id order, and the first that accepts takes the task.
+//! Offers: due jobs are offered to machines in id order, and the first machine that accepts gets the task.
 
 use super::candidates::{Candidates, SearchOrder};
 use super::events::SchedulerEvent;
@@ -12,34 +12,36 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tasks of one job placed in one scheduling cycle, so that one huge job can't take all of it; or one for each machine, where
-/// they are more.
-const TASKS_PER_JOB: usize = 512;
-/// Each job's share of a scheduling cycle's offers; where more jobs wait, they are offered less often.
+/// Maximum number of tasks of one job placed in one scheduling cycle, unless the fleet has more machines than this:
+/// then one task per machine. Prevents a huge job from using up the whole cycle.
+const MAX_PLACEMENTS_PER_JOB: usize = 512;
+/// Offers that each job can expect in a scheduling cycle. Where more jobs wait than the cycle's maximum of offers
+/// allows, jobs are offered less often.
 const OFFERS_PER_JOB: usize = 16;
-/// A sample holds at least so many machines.
-const MIN_SAMPLE: usize = 8;
+/// Minimum number of machines in a sample.
+const MIN_SAMPLE_SIZE: usize = 8;
 
-/// With so many machines for each task of a job, what must be fetched anyway is fetched by as many as it has tasks.
-const MACHINES_PER_TASK: usize = 50;
+/// With at least this many machines per task, a job whose image takes too long to fetch is first placed with at most
+/// one task per machine, so that as many machines as it has tasks fetch the image.
+const MIN_MACHINES_PER_TASK: usize = 50;
 
-/// Which machines a job is offered to in one pass, and how many of its tasks each may take.
+/// Restricts which machines a job is offered to in one pass, and how many of its tasks each machine may get.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Pass {
-    /// Only those that have its image, are fetching it, or were cleared for it.
+pub(super) struct OfferPass {
+    /// Only machines that have the job's image, are fetching it, or have a pending reservation for the job.
     with_image: bool,
-    /// Only spot machines, or only ordinary ones.
+    /// Only spot machines (`true`) or only on-demand machines (`false`); `None` means both.
     pub(super) spot: Option<bool>,
-    /// One task a machine: what must be fetched anyway is then had by more machines.
-    one_each: bool,
-    /// Only those with accelerators in use.
+    /// At most one task per machine, so that more machines fetch the image where a fetch is necessary anyway.
+    one_per_machine: bool,
+    /// Only machines with accelerators in use.
     pub(super) accelerators_in_use: bool,
 }
 
 impl Scheduler {
-    /// Runs one scheduling cycle: offers every due job, and preempts for what must not wait.
+    /// Runs one scheduling cycle: offers every due job to machines, and preempts tasks for jobs that must not wait.
     pub fn run_cycle(&mut self, now: Micros) {
-        self.latest = now;
+        self.last_event_at = now;
         self.offers_made = 0;
         self.refresh_guarantees();
         if self.is_rebuilding() {
@@ -49,9 +51,9 @@
         if due.is_empty() {
             return;
         }
-        self.reserve_for_long_waiting(now);
+        self.reserve_for_starved_jobs(now);
         let mut machines = self.candidates(&due);
-        let mut room = PreemptionPass::new(self.incoming_resources(now));
+        let mut preemption = PreemptionPass::new(self.pending_free_resources(now));
         self.accelerator_headroom = self.compute_accelerator_headroom(&due);
         let sample = self.sample_size(due.len(), machines.len());
         if sample < machines.len() {
@@ -61,122 +63,144 @@
                 sample,
             });
         }
-        for id in &self.with_pending_reservations(&due) {
+        for id in &self.jobs_in_queue_order(&due) {
             if !due.contains(id) {
                 self.apply_reservations(id, &mut machines);
                 continue;
             }
-            let before = self.jobs.get(id).map_or(0, Job::waiting);
+            let waiting_before = self.jobs.get(id).map_or(0, Job::waiting);
             if !self.is_held_back(id) {
-                let order = self.order_for(id, &mut machines, sample);
-                self.offer_job(id, &mut machines, &order, &mut room, now);
+                let order = self.search_order(id, &mut machines, sample);
+                self.offer_job(id, &mut machines, &order, &mut preemption, now);
             }
-            self.record_offer_result(id, before, now);
-            self.delay(id, now);
+            self.record_offer_result(id, waiting_before, now);
+            self.schedule_retry(id, now);
         }
         self.count_steps(machines.steps());
     }
 
-    /// The machines that a job is offered to in this scheduling cycle: all of them, or a sample where that would be too many offers.
-    fn order_for(&mut self, id: &JobId, machines: &mut Candidates, sample: usize) -> SearchOrder {
+    /// Returns the machines that a job is offered to in this scheduling cycle: all candidates, or a sample if offering
+    /// the job to all of them would exceed the maximum of offers.
+    fn search_order(
+        &mut self,
+        id: &JobId,
+        machines: &mut Candidates,
+        sample_size: usize,
+    ) -> SearchOrder {
         let need = self.jobs.get(id).map(|job| job.spec.need());
         match need {
-            Some(need) if sample < machines.len() => {
-                SearchOrder::Some(machines.sample(&need, sample, &mut self.rng))
+            Some(need) if sample_size < machines.len() => {
+                SearchOrder::Some(machines.sample(&need, sample_size, &mut self.rng))
             }
             _ => SearchOrder::All,
         }
     }
 
-    /// Offers one job in the passes that it needs, and preempts for it where it must not wait.
+    /// Offers one job in the passes that apply to it, and preempts tasks for it if it must not wait.
     fn offer_job(
         &mut self,
         id: &JobId,
         machines: &mut Candidates,
         order: &SearchOrder,
-        room: &mut PreemptionPass,
+        preemption: &mut PreemptionPass,
         now: Micros,
     ) {
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
         let may_use_spot = spec.spot && !job.lost_on_spot;
         if spec.is_gang() {
-            self.offer_whole(id, machines, order, now);
+            self.offer_gang(id, machines, order, now);
             return;
         }
-        let any = Pass::default();
-        let cached = Pass {
+        let any = OfferPass::default();
+        let cached = OfferPass {
             with_image: true,
             ..any
         };
-        // What takes no accelerators first takes what is left beside those in use.
+        // Tasks without accelerators are first placed on the remaining processors and memory of machines whose
+        // accelerators are already in use.
         if spec.accelerators == 0.0 {
             let accelerators_in_use = true;
-            let headroom = Pass {
+            let headroom = OfferPass {
                 accelerators_in_use,
                 ..any
             };
             self.offer(id, machines, order, headroom, now);
         }
-        // Ordinary machines decline what may use spot ones, which are far cheaper, while these have room.
+        // Tasks that may use spot machines go to on-demand machines only if no spot machine has enough free resources:
+        // spot machines are far cheaper.
         if may_use_spot {
             let spot = Some(true);
-            self.offer(id, machines, order, Pass { spot, ..cached }, now);
-            self.offer(id, machines, order, Pass { spot, ..any }, now);
+            self.offer(id, machines, order, OfferPass { spot, ..cached }, now);
+            self.offer(id, machines, order, OfferPass { spot, ..any }, now);
         }
         self.offer(id, machines, order, cached, now);
-        // A task that would wait too long for its image on a free machine rather takes the place of another on
-        // a machine that has it.
+        // If fetching the image to a free machine would take too long, the task instead preempts another task on a
+        // machine that has the image.
         if self.fetch_is_too_slow(id) {
-            self.preempt_for(id, true, room, now);
-            // In a small fleet the machines are too few to give each task one of its own.
-            let one_each = self.machines.len() >= spec.tasks as usize * MACHINES_PER_TASK;
-            self.offer(id, machines, order, Pass { one_each, ..any }, now);
+            self.preempt_for(id, true, preemption, now);
+            // In a small fleet there are too few machines to give each task a machine of its own.
+            let one_per_machine =
+                self.machines.len() >= spec.tasks as usize * MIN_MACHINES_PER_TASK;
+            self.offer(
+                id,
+                machines,
+                order,
+                OfferPass {
+                    one_per_machine,
+                    ..any
+                },
+                now,
+            );
         }
         self.offer(id, machines, order, any, now);
-        self.preempt_for(id, false, room, now);
+        self.preempt_for(id, false, preemption, now);
         self.apply_reservations(id, machines);
     }
 
-    /// These jobs and those with pending reservations, in queue order.
-    fn with_pending_reservations(&self, due: &BTreeSet<JobId>) -> Vec<JobId> {
+    /// Returns the due jobs and the jobs with pending reservations, in queue order.
+    fn jobs_in_queue_order(&self, due: &BTreeSet<JobId>) -> Vec<JobId> {
         let pending_reservations = self
             .job_index
             .pending_reservations()
             .filter(|id| !due.contains(*id));
-        let concerned = due.iter().chain(pending_reservations);
-        let mut all: Vec<&Job> = concerned.filter_map(|id| self.jobs.get(id)).collect();
+        let due_or_reserving = due.iter().chain(pending_reservations);
+        let mut all: Vec<&Job> = due_or_reserving
+            .filter_map(|id| self.jobs.get(id))
+            .collect();
         self.sort_by_queue_position(&mut all);
         all.into_iter().map(|j| j.spec.id.clone()).collect()
     }
 
-    /// Withholds from the jobs after this one what is reserved for it.
+    /// Subtracts a job's pending reservations from the candidates' free resources, so that later jobs in the cycle
+    /// can't use them.
     ///
-    /// Guards against resources for a large task that free bit by bit, each taken by a smaller one: preemptions would be
-    /// ordered for ever, and the large task would never begin.
+    /// Without this, resources that are freed bit by bit for a large task would each be taken by a smaller one:
+    /// preemptions would be ordered endlessly, and the large task would never start.
     fn apply_reservations(&self, id: &JobId, machines: &mut Candidates) {
         let Some(job) = self.jobs.get(id) else { return };
         let need = job.spec.need();
         for (machine, _) in &job.reservations {
             if let Some(i) = machines.position(machine) {
-                machines.take(i, &need);
+                machines.reserve(i, &need);
             }
         }
     }
 
-    /// By priority, the processors and memory that a task with one accelerator takes at the most, of jobs that are not
-    /// lower.
+    /// Returns, by priority, the highest processor and memory need per accelerator among the jobs of that priority or a
+    /// higher one.
     ///
-    /// Guards against thousands of tasks without accelerators that use up the processors beside free ones: those would
-    /// be paid for, and of no use to anybody.
+    /// On machines with accelerators in use, tasks without accelerators leave this much for each free accelerator.
+    /// Without this, thousands of them would use up the processors of machines with free accelerators, which would be
+    /// paid for but unusable.
     fn compute_accelerator_headroom(&self, due: &BTreeSet<JobId>) -> BTreeMap<Priority, Resources> {
         let mut headroom: BTreeMap<Priority, Resources> = BTreeMap::new();
-        let takes_none = |id: &JobId| {
+        let uses_no_accelerator = |id: &JobId| {
             self.jobs
                 .get(id)
                 .is_some_and(|j| j.spec.accelerators == 0.0)
         };
-        if !due.iter().any(takes_none) {
+        if !due.iter().any(uses_no_accelerator) {
             return headroom;
         }
         self.count_steps(self.jobs.len());
@@ -186,7 +210,7 @@
             .filter(|j| j.spec.accelerators > 0.0 && !j.ending)
         {
             let spec = &job.spec;
-            let one = Resources::new(
+            let per_accelerator = Resources::new(
                 spec.cores / spec.accelerators,
                 0.0,
                 spec.ram_gb / spec.accelerators,
@@ -199,39 +223,40 @@
             ] {
                 if priority <= spec.priority {
                     let max_need = headroom.entry(priority).or_default();
-                    max_need.cores = max_need.cores.max(one.cores);
-                    max_need.memory = max_need.memory.max(one.memory);
+                    max_need.cores = max_need.cores.max(per_accelerator.cores);
+                    max_need.memory = max_need.memory.max(per_accelerator.memory);
                 }
             }
         }
         headroom
     }
 
-    /// Sets the next try of a job with waiting tasks.
+    /// Sets the time at which a job with waiting tasks is offered again.
     ///
-    /// Guards against a backlog of thousands of jobs whose offers take all of the processor's share: where more wait than
-    /// may be offered in an interval, those below critical wait for as many intervals as it takes.
-    fn delay(&mut self, id: &JobId, now: Micros) {
-        let jitter = self.rng.u64(0..=self.config.jitter.0);
+    /// Where more jobs wait than can be offered in one retry interval, jobs below critical priority wait for as many
+    /// intervals as it takes to offer all of them. Without this, the offers of a backlog of thousands of jobs would use
+    /// up the controller's share of the processor.
+    fn schedule_retry(&mut self, id: &JobId, now: Micros) {
+        let jitter = self.rng.u64(0..=self.config.max_retry_jitter.0);
         let jobs_per_retry = (self.config.max_offers_per_cycle / OFFERS_PER_JOB).max(1);
         let intervals = 1 + self.job_index.waiting_count() / jobs_per_retry;
         if let Some(job) = self.jobs.get_mut(id)
             && job.waiting() > 0
         {
-            let pause = if job.crash_looping {
+            let backoff = if job.crash_looping {
                 job.pause()
             } else if job.spec.priority == Priority::Critical {
-                self.config.retry
+                self.config.retry_interval
             } else {
-                self.config.retry.scaled(intervals as u64, 1)
+                self.config.retry_interval.scaled(intervals as u64, 1)
             };
-            job.next_try = now + pause + Micros(jitter);
+            job.next_try = now + backoff + Micros(jitter);
             self.job_index.schedule(job);
         }
     }
 
-    /// Offers a gang: all its tasks are placed or none. One that lost a member is stopped, and starts whole again.
-    fn offer_whole(
+    /// Offers a gang: places all of its tasks or none. A gang that lost a task is stopped, and starts again as a whole.
+    fn offer_gang(
         &mut self,
         id: &JobId,
         machines: &mut Candidates,
@@ -245,31 +270,31 @@
             self.stop_all(id, StopReason::Drained);
             return;
         }
-        let parts = if job.spec.together {
-            self.order_by_zone(machines, order)
+        let by_zone = if job.spec.together {
+            self.machines_by_zone(machines, order)
         } else {
             Vec::new()
         };
-        if parts.is_empty() {
-            self.offer_whole_to(id, machines, order, now);
+        if by_zone.is_empty() {
+            self.try_offer_gang(id, machines, order, now);
             return;
         }
-        for part in parts {
-            if self.offer_whole_to(id, machines, &SearchOrder::Some(part), now) {
+        for zone_machines in by_zone {
+            if self.try_offer_gang(id, machines, &SearchOrder::Some(zone_machines), now) {
                 return;
             }
         }
     }
 
-    /// Offers a gang to these machines; whether it was placed.
-    fn offer_whole_to(
+    /// Offers a gang to these machines. Returns whether all of its tasks were placed; if not, none is.
+    fn try_offer_gang(
         &mut self,
         id: &JobId,
         machines: &mut Candidates,
         order: &SearchOrder,
         now: Micros,
     ) -> bool {
-        self.offer(id, machines, order, Pass::default(), now);
+        self.offer(id, machines, order, OfferPass::default(), now);
         let Some(job) = self.jobs.get(id) else {
             return true;
         };
@@ -278,10 +303,10 @@
         }
         let need = job.spec.need();
         let placed: Vec<MachineId> = live_tasks(job).map(|(_, p)| p.machine.clone()).collect();
-        self.drop_unwritten(id);
+        self.release_unwritten(id);
         for machine in placed {
             if let Some(i) = machines.position(&machine) {
-                machines.take_back(i, &need);
+                machines.undo_placement(i, &need);
             }
         }
         false
@@ -302,10 +327,10 @@
         }
     }
 
-    /// The machines of a search order, zone by zone.
-    fn order_by_zone(&self, machines: &Candidates, order: &SearchOrder) -> Vec<Vec<usize>> {
+    /// Returns the machines of a search order grouped by zone.
+    fn machines_by_zone(&self, machines: &Candidates, order: &SearchOrder) -> Vec<Vec<usize>> {
         let all: Vec<usize> = match order {
-            SearchOrder::Some(some) => some.clone(),
+            SearchOrder::Some(positions) => positions.clone(),
             SearchOrder::All | SearchOrder::WithImage { .. } => (0..machines.len()).collect(),
         };
         let mut by_zone: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
@@ -316,31 +341,33 @@
         by_zone.into_values().collect()
     }
 
-    /// Whether a task of the job could not start within its class's time where its image must be fetched first.
+    /// Returns whether fetching the job's image would delay a task's start beyond the maximum start delay of its class.
     fn fetch_is_too_slow(&self, id: &JobId) -> bool {
         let Some(spec) = spec_of(&self.jobs, id) else {
             return false;
         };
-        let Some(within) = self.config.wait_within.get(&spec.class) else {
+        let Some(max_start_delay) = self.config.max_start_delay.get(&spec.class) else {
             return false;
         };
-        let rates = self.machine_types.values().map(|f| f.fetch_gb_per_s);
-        let rate = rates.fold(0.001, f64::max);
-        Micros::from_secs_f64(spec.image_gb / rate) + self.config.heartbeat_interval > *within
+        let fetch_rates = self.machine_types.values().map(|f| f.fetch_gb_per_s);
+        let fetch_gb_per_s = fetch_rates.fold(0.001, f64::max);
+        Micros::from_secs_f64(spec.image_gb / fetch_gb_per_s) + self.config.heartbeat_interval
+            > *max_start_delay
     }
 
-    /// Sorts jobs: what is critical first, then guarantees before borrowing, then by priority, then by deadline or age.
+    /// Sorts jobs in queue order: critical jobs first, then jobs within their team's guarantee, then by priority, then
+    /// by deadline or age.
     ///
-    /// Guards against urgent work that another team lends room to, in front of what that team is guaranteed: the two
-    /// would stop each other's tasks for ever.
+    /// Guarantees go before priority: an urgent job that borrows another team's guaranteed resources and that team's
+    /// guaranteed job would otherwise preempt each other endlessly.
     pub(super) fn sort_by_queue_position(&self, jobs: &mut [&Job]) {
         jobs.sort_by_cached_key(|j| {
-            let waits = j.spec.priority < Priority::Critical;
+            let is_below_critical = j.spec.priority < Priority::Critical;
             let exceeds_guarantee = !self.guarantees.covers(j);
             let priority = Reverse(j.spec.priority);
             let queue_position = j.queue_position(self.unix_time);
             (
-                waits,
+                is_below_critical,
                 exceeds_guarantee,
                 priority,
                 queue_position,
@@ -349,41 +376,41 @@
         });
     }
 
-    /// Jobs to offer now.
+    /// Returns the jobs that are due to be offered.
     fn due_jobs(&mut self, now: Micros) -> BTreeSet<JobId> {
-        let (due, steps) = self.job_index.due(&self.jobs, now);
+        let (due, steps) = self.job_index.take_due(&self.jobs, now);
         self.count_steps(steps);
         due
     }
 
-    /// Machines that take offers and fit the smallest of these jobs' tasks, in id order: the others need not
-    /// be asked.
+    /// Returns the machines, in id order, that take offers and whose free resources fit the smallest task of these
+    /// jobs. No other machine could accept any of them.
     fn candidates(&self, due: &BTreeSet<JobId>) -> Candidates {
         self.count_steps(self.machines.len());
-        let needs = due.iter().filter_map(|id| self.jobs.get(id));
-        let needs = needs.map(|job| job.spec.need());
-        let smallest = needs.reduce(|a, b| a.min(&b)).unwrap_or_default();
+        let task_needs = due.iter().filter_map(|id| self.jobs.get(id));
+        let task_needs = task_needs.map(|job| job.spec.need());
+        let smallest = task_needs.reduce(|a, b| a.min(&b)).unwrap_or_default();
         Candidates::new(&self.machines, &smallest)
     }
 
-    /// How many machines each job may be offered to within the scheduling cycle's allowance.
+    /// Returns the number of machines that each job may be offered to within the cycle's maximum of offers.
     fn sample_size(&self, jobs: usize, machines: usize) -> usize {
-        let fair = self.config.max_offers_per_cycle / jobs.max(1);
-        if fair >= machines {
+        let machines_per_job = self.config.max_offers_per_cycle / jobs.max(1);
+        if machines_per_job >= machines {
             machines
         } else {
-            fair.max(MIN_SAMPLE)
+            machines_per_job.max(MIN_SAMPLE_SIZE)
         }
     }
 
-    /// Offers a job's waiting tasks to the machines of a pass; tasks that wait for a place being cleared are left out
-    /// where the image is not asked for.
+    /// Offers a job's waiting tasks to the machines of a pass. In a pass that does not ask for the image, leaves out as
+    /// many tasks as the job has pending reservations.
     fn offer(
         &mut self,
         id: &JobId,
         machines: &mut Candidates,
         order: &SearchOrder,
-        pass: Pass,
+        pass: OfferPass,
         now: Micros,
     ) {
         let Some(job) = self.jobs.get_mut(id) else {
@@ -396,22 +423,22 @@
         let accelerator_headroom = accelerator_headroom.copied().unwrap_or_default();
         let mut budget = job.open() as usize;
         if !spec.is_gang() {
-            budget = budget.min(TASKS_PER_JOB.max(self.machines.len()));
+            budget = budget.min(MAX_PLACEMENTS_PER_JOB.max(self.machines.len()));
         }
         if !pass.with_image {
             budget = budget.saturating_sub(job.reservations.len());
         }
-        let ready = pass
+        let with_image = pass
             .with_image
-            .then(|| self.ready_machines(id, machines, order, now));
-        let order = ready.as_ref().unwrap_or(order);
+            .then(|| self.machines_with_image(id, machines, order, now));
+        let order = with_image.as_ref().unwrap_or(order);
         let mut next_task = 0;
-        let mut from = 0;
+        let mut from_position = 0;
         while budget > 0 {
-            let Some((place, i)) = machines.next(order, from, &need, &pass) else {
+            let Some((position, i)) = machines.next(order, from_position, &need, &pass) else {
                 return;
             };
-            from = place + 1;
+            from_position = position + 1;
             self.offers_made += 1;
             let machine = machines.get(i).id.clone();
             if pass.accelerators_in_use && !machines.get(i).uses_accelerators()
@@ -435,16 +462,16 @@
                 machines.record_image(i, &spec.image);
                 next_task = index + 1;
                 budget -= 1;
-                if pass.one_each {
+                if pass.one_per_machine {
                     break;
                 }
             }
         }
     }
 
-    /// Those machines of a search order that have a job's image, are fetching it or were cleared for it. What is moved goes
-    /// where it has its reservation.
-    fn ready_machines(
+    /// Returns the machines of a search order that have the job's image, are fetching it, or have a pending reservation
+    /// for the job. A task that is being moved is offered only to the machines reserved for the job.
+    fn machines_with_image(
         &self,
         id: &JobId,
         machines: &mut Candidates,
@@ -454,27 +481,27 @@
         let Some(job) = self.jobs.get(id) else {
             return SearchOrder::Some(Vec::new());
         };
-        let cleared = job
+        let reserved = job
             .reservations
             .iter()
             .filter_map(|(m, _)| machines.position(m));
-        let mut cleared: Vec<usize> = cleared.collect();
-        cleared.sort_unstable();
-        if job.moving_until > now && !cleared.is_empty() {
-            return SearchOrder::Some(cleared);
+        let mut reserved: Vec<usize> = reserved.collect();
+        reserved.sort_unstable();
+        if job.moving_until > now && !reserved.is_empty() {
+            return SearchOrder::Some(reserved);
         }
         machines.index_image(&job.spec.image, &self.machines);
-        machines.with_image(order, &job.spec.image, cleared)
+        machines.with_image(order, &job.spec.image, reserved)
     }
 
-    /// Whether a machine may take one more task of the job, free resources and team limit aside.
+    /// Returns whether a machine may get one more task of the job, apart from free resources and the team's limit.
     pub(super) fn accepts(&self, id: &JobId, machine: &MachineId) -> bool {
         let (Some(m), Some(job)) = (self.machines.get(machine), self.jobs.get(id)) else {
             return false;
         };
         job.allows(&m.machine_type, &m.zone, m.spot)
             && !job.failed_on.contains(machine)
-            && zone_takes(job, &m.zone, 0, None)
+            && zone_allows(job, &m.zone, 0, None)
     }
 
     fn place(&mut self, id: &JobId, index: u32, machine: &MachineId, now: Micros) {
@@ -485,8 +512,8 @@
         let attempt = job.next_attempt(index / CHUNK_SIZE, self.min_attempt);
         let chunk = job.chunks.entry(index / CHUNK_SIZE).or_default();
         chunk.last_attempt = attempt;
-        let claim = job.reservations.iter().position(|(m, _)| m == machine);
-        if let Some(i) = claim.or(job.reservations.len().checked_sub(1)) {
+        let reservation = job.reservations.iter().position(|(m, _)| m == machine);
+        if let Some(i) = reservation.or(job.reservations.len().checked_sub(1)) {
             job.reservations.swap_remove(i);
         }
         chunk.live.insert(
@@ -516,20 +543,20 @@
     }
 }
 
-/// Whether one more task of the job may be in the zone, beside those placed and `planned` more there; a task that
-/// moves away from the zone `leaving` does not count.
+/// Returns whether one more task of the job may be placed in the zone, in addition to those placed there and `planned`
+/// more. With `leaving`, one task that moves away from that zone does not count.
 ///
 /// Tasks on machines whose zone is not known yet count against every zone.
-pub(super) fn zone_takes(job: &Job, zone: &str, planned: u32, leaving: Option<&str>) -> bool {
-    let unknown = job.live_by_zone.get("").copied().unwrap_or(0);
-    let mut here = job.live_by_zone.get(zone).copied().unwrap_or(0);
-    let mut all = job.live;
-    if let Some(left) = leaving {
-        all -= 1;
-        here -= u32::from(left == zone && here > 0);
+pub(super) fn zone_allows(job: &Job, zone: &str, planned: u32, leaving: Option<&str>) -> bool {
+    let zone_unknown = job.live_by_zone.get("").copied().unwrap_or(0);
+    let mut in_zone = job.live_by_zone.get(zone).copied().unwrap_or(0);
+    let mut total = job.live;
+    if let Some(leaving) = leaving {
+        total -= 1;
+        in_zone -= u32::from(leaving == zone && in_zone > 0);
     }
-    if job.spec.together && all > here {
+    if job.spec.together && total > in_zone {
         return false;
     }
-    here + unknown + planned < job.spec.zone_cap()
+    in_zone + zone_unknown + planned < job.spec.zone_cap()
 }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,4 +1,5 @@
-//! Preemption: stops tasks for jobs that must not wait, only as the protocol allows and at the least loss of work.
+//! Preemption: stops tasks in favor of jobs that must not wait, only where the protocol's rules on priorities and
+//! guarantees allow it, and with the least loss of work.
 
 use super::events::SchedulerEvent;
 use super::job::{Job, StopReason};
@@ -9,41 +10,44 @@
 use crate::units::{Micros, Resources};
 use std::collections::BTreeMap;
 
-/// What a stopped task needs until it runs again elsewhere. An array's task that ran for less is not stopped for an array
-/// of a higher priority: the restart would cost more than it achieved.
-const MIN_RUN_TIME: Micros = Micros::secs(45);
-/// Preemptions for one job in one scheduling cycle; or one for so many machines, where that is more.
+/// Time that a stopped task needs until it runs again elsewhere. An array task that ran for less than this is not
+/// stopped for an array of a higher priority: the restart would cost more than the preemption gains.
+const RESTART_TIME: Micros = Micros::secs(45);
+/// Maximum number of preemptions for one job in one scheduling cycle, unless `MACHINES_PER_PREEMPTION` allows more.
 const MAX_PREEMPTIONS_PER_CYCLE: usize = 16;
-const MACHINES_EXAMINED_PER_PREEMPTION: usize = 64;
+/// Number of machines per preemption allowed for one job in one scheduling cycle. Lets large fleets exceed
+/// `MAX_PREEMPTIONS_PER_CYCLE`.
+const MACHINES_PER_PREEMPTION: usize = 64;
 
-/// What a scheduling cycle knows of the resources that preemption can free.
+/// What a scheduling cycle knows about the resources that preemption can free.
 pub(super) struct PreemptionPass {
-    /// Resources about to be free, by machine: what is being stopped there, less what is reserved of it.
-    incoming: BTreeMap<MachineId, Resources>,
-    /// Machines with tasks that may be preempted for some job; computed when first needed.
-    stoppable: Option<Vec<MachineId>>,
+    /// Resources about to be free, by machine: those of tasks being stopped there, minus pending reservations.
+    pending_free: BTreeMap<MachineId, Resources>,
+    /// Machines with tasks that could be preempted for some job. Computed on first use.
+    preemptible: Option<Vec<MachineId>>,
 }
 
 impl PreemptionPass {
-    pub(super) fn new(incoming: BTreeMap<MachineId, Resources>) -> PreemptionPass {
+    pub(super) fn new(pending_free: BTreeMap<MachineId, Resources>) -> PreemptionPass {
         PreemptionPass {
-            incoming,
-            stoppable: None,
+            pending_free,
+            preemptible: None,
         }
     }
 }
 
 impl Scheduler {
-    /// Resources about to be free, by machine: what is being stopped there, less what is reserved of it.
-    pub(super) fn incoming_resources(&mut self, now: Micros) -> BTreeMap<MachineId, Resources> {
-        let mut incoming: BTreeMap<MachineId, Resources> = BTreeMap::new();
+    /// Returns the resources about to be free, by machine: those of tasks being stopped there, minus pending
+    /// reservations.
+    pub(super) fn pending_free_resources(&mut self, now: Micros) -> BTreeMap<MachineId, Resources> {
+        let mut pending_free: BTreeMap<MachineId, Resources> = BTreeMap::new();
         for task in self.job_index.stopping() {
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
             let placement = job.placement(task.index);
             if let Some(p) = placement.filter(|p| p.stopping.is_some()) {
-                *incoming.entry(p.machine.clone()).or_default() += job.spec.need();
+                *pending_free.entry(p.machine.clone()).or_default() += job.spec.need();
             }
         }
         for id in self.job_index.pending_reservations() {
@@ -52,59 +56,62 @@
             };
             job.reservations.retain(|(_, until)| *until > now);
             for (machine, _) in &job.reservations {
-                *incoming.entry(machine.clone()).or_default() -= job.spec.need();
+                *pending_free.entry(machine.clone()).or_default() -= job.spec.need();
             }
         }
         self.job_index.prune(&self.jobs);
-        incoming
+        pending_free
     }
 
-    /// Preempts tasks where that lets a job start that must not wait; with `with_image` only on machines
-    /// that have its image.
+    /// Preempts tasks for a job that must not wait, where this lets its tasks start. With `with_image`, only on
+    /// machines that have the job's image.
     pub(super) fn preempt_for(
         &mut self,
         id: &JobId,
         with_image: bool,
-        room: &mut PreemptionPass,
+        pass: &mut PreemptionPass,
         now: Micros,
     ) {
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
         let open = (job.open() as usize).saturating_sub(job.reservations.len());
-        if !self.config.wait_within.contains_key(&spec.class) && !self.is_entitled(id) {
+        if !self.config.max_start_delay.contains_key(&spec.class) && !self.is_entitled(id) {
             return;
         }
         let mut planned = spec.need().times(job.reservations.len());
-        if open > 0 && room.stoppable.is_none() {
-            room.stoppable = Some(self.stoppable(&room.incoming));
+        if open > 0 && pass.preemptible.is_none() {
+            pass.preemptible = Some(self.preemptible(&pass.pending_free));
         }
         let max_preemptions =
-            MAX_PREEMPTIONS_PER_CYCLE.max(self.machines.len() / MACHINES_EXAMINED_PER_PREEMPTION);
+            MAX_PREEMPTIONS_PER_CYCLE.max(self.machines.len() / MACHINES_PER_PREEMPTION);
         for _ in 0..open.min(max_preemptions) {
             planned += spec.need();
             if !self.within_limit(&spec.team, &planned) {
                 return;
             }
-            let Some((machine, victims)) = self.room_for(id, &spec, with_image, room, now) else {
+            let Some((machine, victims)) = self.find_preemption(id, &spec, with_image, pass, now)
+            else {
                 return;
             };
-            let incoming = room.incoming.entry(machine.clone()).or_default();
+            let pending_free = pass.pending_free.entry(machine.clone()).or_default();
             for task in &victims {
-                if let Some(v) = self.jobs.get(&task.job) {
-                    *incoming += v.spec.need();
+                if let Some(victim) = self.jobs.get(&task.job) {
+                    *pending_free += victim.spec.need();
                 }
             }
-            *incoming -= spec.need();
-            let save = victims
+            *pending_free -= spec.need();
+            let save_time = victims
                 .iter()
                 .filter_map(|t| spec_of(&self.jobs, &t.job))
                 .map(|s| Micros::from_secs_f64(s.save_slack()))
                 .max()
                 .unwrap_or_default();
-            // The stop waits for a heartbeat, the exit is reported within a second, and then the reservation is used.
-            let until = now + self.config.heartbeat_interval.scaled(5, 4) + save + Micros::secs(2);
+            // The stop is sent in the answer to the machine's next heartbeat, the exit is reported within a second
+            // after the task has saved its state, and the next scheduling cycle then uses the reservation.
+            let until =
+                now + self.config.heartbeat_interval.scaled(5, 4) + save_time + Micros::secs(2);
             for task in victims {
-                self.stop_for(&task, id);
+                self.preempt_task(&task, id);
             }
             if let Some(job) = self.jobs.get_mut(id) {
                 job.reservations.push((machine, until));
@@ -113,7 +120,7 @@
         }
     }
 
-    fn stop_for(&mut self, task: &TaskId, by: &JobId) {
+    fn preempt_task(&mut self, task: &TaskId, preemptor: &JobId) {
         let Some(p) = self
             .jobs
             .get_mut(&task.job)
@@ -126,34 +133,34 @@
         self.events.push(SchedulerEvent::TaskPreempted {
             task: task.clone(),
             machine: p.machine.clone(),
-            by: by.clone(),
+            by: preemptor.clone(),
         });
     }
 
-    /// Machines with tasks that may be preempted for one job or another, or with resources about to be free.
-    fn stoppable(&self, incoming: &BTreeMap<MachineId, Resources>) -> Vec<MachineId> {
+    /// Returns the machines with tasks that could be preempted for some job, or with resources about to be free.
+    fn preemptible(&self, pending_free: &BTreeMap<MachineId, Resources>) -> Vec<MachineId> {
         self.count_steps(self.machines.len());
-        let worth = |(id, m): &(&MachineId, &Machine)| {
+        let is_preemptible = |(id, m): &(&MachineId, &Machine)| {
             m.takes_offers()
-                && (m.has_reserved_below(Priority::Critical) || incoming.contains_key(*id))
+                && (m.has_reserved_below(Priority::Critical) || pending_free.contains_key(*id))
         };
-        let machines = self.machines.iter().filter(worth);
+        let machines = self.machines.iter().filter(is_preemptible);
         machines.map(|(id, _)| id.clone()).collect()
     }
 
-    /// The machine where preemption for a task loses the least work, and the tasks to stop there.
-    fn room_for(
+    /// Returns the machine where preemption for one task loses the least work, and the tasks to stop there.
+    fn find_preemption(
         &mut self,
         id: &JobId,
         spec: &JobSpec,
         with_image: bool,
-        room: &PreemptionPass,
+        pass: &PreemptionPass,
         now: Micros,
     ) -> Option<(MachineId, Vec<TaskId>)> {
         let need = spec.need();
-        let incoming = &room.incoming;
+        let pending_free = &pass.pending_free;
         let mut best: Option<(Micros, MachineId, Vec<TaskId>)> = None;
-        for machine in room.stoppable.iter().flatten() {
+        for machine in pass.preemptible.iter().flatten() {
             if self.offers_made >= self.config.max_offers_per_cycle.saturating_mul(2) {
                 break;
             }
@@ -168,27 +175,27 @@
             {
                 continue;
             }
-            let mut free = m.free() + incoming.get(machine).copied().unwrap_or_default();
+            let mut free = m.free() + pending_free.get(machine).copied().unwrap_or_default();
             let mut victims: Vec<(Micros, &TaskId)> = m
                 .reserved
                 .keys()
-                .filter_map(|t| Some((self.loss_of(t, id, with_image, now)?, t)))
+                .filter_map(|t| Some((self.loss_of_stopping(t, id, with_image, now)?, t)))
                 .collect();
             victims.sort();
             let mut loss = Micros::ZERO;
             let mut stopped = Vec::new();
-            for (lost, task) in victims {
+            for (lost_work, task) in victims {
                 if free.holds(&need) {
                     break;
                 }
                 free += m.reserved[task];
-                loss = loss + lost;
+                loss = loss + lost_work;
                 stopped.push(task.clone());
             }
             if !free.holds(&need) {
                 continue;
             }
-            // A fetch that is saved is time won for the task that waits.
+            // On a machine without the image, the waiting task loses the time of the fetch.
             if !m.has_image(&spec.image) {
                 let rate = self
                     .machine_types
@@ -196,86 +203,94 @@
                     .map_or(1.0, |f| f.fetch_gb_per_s);
                 loss = loss + Micros::from_secs_f64(spec.image_gb / rate.max(0.001));
             }
-            if best.as_ref().is_none_or(|(l, _, _)| loss < *l) {
+            if best
+                .as_ref()
+                .is_none_or(|(least_loss, _, _)| loss < *least_loss)
+            {
                 best = Some((loss, machine.clone(), stopped));
             }
         }
         best.map(|(_, machine, victims)| (machine, victims))
     }
 
-    /// Whether the job is to get its team's guarantee, and the platform has an aim for that.
+    /// Returns whether the job is within its team's guarantee and the platform has an objective for guaranteed work.
     fn is_entitled(&self, id: &JobId) -> bool {
-        self.config.guarantee_within.is_some()
+        self.config.guarantee_start_delay.is_some()
             && self.jobs.get(id).is_some_and(|j| self.guarantees.covers(j))
     }
 
-    /// The work that stopping a task would lose, or none if it must not be stopped for this job. Where stopping only
-    /// spares the other a fetch, it must not cost a job its deadline.
-    fn loss_of(
+    /// Returns the work lost by stopping a task, or `None` if it must not be stopped for this job. If stopping it only
+    /// avoids an image fetch for the other job, it must not make the task's job miss its deadline.
+    fn loss_of_stopping(
         &self,
         task: &TaskId,
-        by: &JobId,
-        spares_fetch: bool,
+        preemptor: &JobId,
+        only_avoids_fetch: bool,
         now: Micros,
     ) -> Option<Micros> {
-        let by = self.jobs.get(by)?;
+        let preemptor = self.jobs.get(preemptor)?;
         let job = self.jobs.get(&task.job)?;
         let p = job.placement(task.index)?;
         if p.stopping.is_some() || job.ending {
             return None;
         }
-        // What another team is guaranteed it would take back again: of the two the guarantee is the stronger, but for
-        // services of the highest priority.
-        let owed = job.spec.team != by.spec.team
-            && by.spec.priority < Priority::Critical
+        // A task within another team's guarantee would take its resources back again, so the guarantee outweighs the
+        // priority of a job that is not within its own. Only critical jobs may preempt it.
+        let has_stronger_guarantee = job.spec.team != preemptor.spec.team
+            && preemptor.spec.priority < Priority::Critical
             && self.is_entitled(&task.job)
-            && !self.guarantees.covers(by);
-        let lower = job.spec.priority < by.spec.priority && !owed;
-        // A job within its own team's guarantee would be entitled to the place again, and the two would take it from
-        // each other for ever. Services of the highest priority are spared even where the rules allow to stop them.
-        let lent = self.is_entitled(&by.spec.id)
-            && job.spec.team != by.spec.team
+            && !self.guarantees.covers(preemptor);
+        let has_lower_priority =
+            job.spec.priority < preemptor.spec.priority && !has_stronger_guarantee;
+        // A task within its own team's guarantee would be entitled to the resources again, and the two jobs would
+        // preempt each other endlessly. Critical jobs are spared even where the rules allow stopping them.
+        let is_borrowing = self.is_entitled(&preemptor.spec.id)
+            && job.spec.team != preemptor.spec.team
             && job.spec.priority < Priority::Critical
             && self.exceeds_guarantee(&job.spec.team)
             && !self.guarantees.covers(job);
-        if !(lower || lent) {
+        if !(has_lower_priority || is_borrowing) {
             return None;
         }
-        let ran = p.running_since.map_or(Micros::ZERO, |t| now.since(t));
-        // An array's task that was stopped and started again is the one that loses least: urgent arrays that come all the
-        // time would stop it again and again, and it would never end. A guarantee takes its room at once, unless what
-        // borrows it has ended in less time than a restart takes.
-        let both_arrays = by.spec.shape == Shape::Array && job.spec.shape == Shape::Array;
-        let is_short = Micros::from_secs_f64(job.spec.expect_s) <= MIN_RUN_TIME;
-        if both_arrays && ran < MIN_RUN_TIME && (!lent || is_short) {
+        let run_time = p.running_since.map_or(Micros::ZERO, |t| now.since(t));
+        // A task that has just started loses the least work, so a steady stream of urgent arrays would stop the same
+        // array task again and again, and it would never finish. A guarantee is enforced at once, unless the task that
+        // borrows its resources finishes in less time than a restart takes.
+        let both_arrays = preemptor.spec.shape == Shape::Array && job.spec.shape == Shape::Array;
+        let is_short = Micros::from_secs_f64(job.spec.expect_s) <= RESTART_TIME;
+        if both_arrays && run_time < RESTART_TIME && (!is_borrowing || is_short) {
             return None;
         }
-        let save = Micros::from_secs_f64(job.spec.save_slack());
-        let lost = if save > Micros::ZERO {
-            save.min(ran)
+        let save_time = Micros::from_secs_f64(job.spec.save_slack());
+        let lost_work = if save_time > Micros::ZERO {
+            save_time.min(run_time)
         } else {
-            ran
+            run_time
         };
-        let lateness = self.lateness(job, ran);
-        if spares_fetch && lateness > Micros::ZERO {
+        let deadline_loss = self.deadline_loss(job, run_time);
+        if only_avoids_fetch && deadline_loss > Micros::ZERO {
             return None;
         }
-        Some(lost + lateness)
+        Some(lost_work + deadline_loss)
     }
 
-    /// What it adds to the loss of a stopped task that its job would miss its deadline by it, or the time half as long
-    /// again: as much as the task takes in all.
-    fn lateness(&self, job: &Job, ran: Micros) -> Micros {
+    /// Returns what the delay of a stopped task adds to its loss: its whole expected run time if the restart would make
+    /// its job miss its deadline, or exceed 1.5 times the time allowed, which it would otherwise meet; else zero.
+    fn deadline_loss(&self, job: &Job, run_time: Micros) -> Micros {
         let Some(due_s) = job.spec.due_s else {
             return Micros::ZERO;
         };
-        let whole = Micros::from_secs_f64(job.spec.expect_s);
-        let left = whole.since(ran);
-        let breaks = [2, 3].into_iter().any(|halves| {
+        let expected_run_time = Micros::from_secs_f64(job.spec.expect_s);
+        let remaining = expected_run_time.since(run_time);
+        let misses_deadline = [2, 3].into_iter().any(|halves| {
             let due = job.at + Micros::from_secs_f64(due_s).scaled(halves, 2).0;
-            let spare = due.saturating_sub(self.unix_time);
-            spare >= left.0 && spare < (left + MIN_RUN_TIME).0
+            let time_until_due = due.saturating_sub(self.unix_time);
+            time_until_due >= remaining.0 && time_until_due < (remaining + RESTART_TIME).0
         });
-        if breaks { whole } else { Micros::ZERO }
+        if misses_deadline {
+            expected_run_time
+        } else {
+            Micros::ZERO
+        }
     }
 }
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -121,7 +121,7 @@
             return;
         }
         p.running_since = Some(now);
-        self.new_images.insert(machine.clone());
+        self.unwritten_images.insert(machine.clone());
         self.events.push(SchedulerEvent::TaskRunning {
             task: task.clone(),
             machine: machine.clone(),
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -5,7 +5,7 @@
 use super::job_spec::{JobSpec, Shape};
 use super::machine::{MAX_TASKS_PER_MACHINE, Machine, MachineState};
 use super::machine_type::MachineType;
-use super::offers::zone_takes;
+use super::offers::zone_allows;
 use super::reserve::Reserve;
 use super::{JobId, Scheduler, TaskId};
 use crate::units::{Micros, Resources};
@@ -251,7 +251,7 @@
     fn ramp_extra(&self) -> usize {
         let (mut waiting, mut running) = (0, 0);
         for job in self.jobs.values() {
-            if self.config.wait_within.contains_key(&job.spec.class) && !job.spec.spot {
+            if self.config.max_start_delay.contains_key(&job.spec.class) && !job.spec.spot {
                 waiting += job.waiting() as usize;
                 running += job.live as usize;
             }
@@ -276,7 +276,7 @@
         let any_up = self.machines.values().any(Machine::takes_offers);
         self.count_steps(self.job_index.waiting_count());
         let mut waiting: Vec<&Job> = self
-            .open_jobs()
+            .jobs_with_waiting_tasks()
             .filter(|j| j.open() > 0 && j.next_try <= now + Micros::secs(2))
             .filter(|j| !(j.crash_looping && any_up))
             .collect();
@@ -287,7 +287,7 @@
     /// Capacity that comes without provisioning anything more.
     fn incoming_capacity(&self, now: Micros) -> Vec<Bin> {
         let mut bins = Vec::new();
-        let offered_within = self.config.retry + self.config.jitter.scaled(2, 1);
+        let offered_within = self.config.retry_interval + self.config.max_retry_jitter.scaled(2, 1);
         for m in self.machines.values() {
             let boot = self
                 .machine_types
@@ -399,7 +399,7 @@
         let zone_fits = |zone: &str| {
             let here = in_zone.get(zone).copied().unwrap_or(0);
             let elsewhere: u32 = in_zone.values().sum::<u32>() - here;
-            zone_takes(job, zone, here, None) && !(spec.together && elsewhere > 0)
+            zone_allows(job, zone, here, None) && !(spec.together && elsewhere > 0)
         };
         // What has a deadline or must start at once does not wait for others to end.
         // For latency-sensitive work a provisioned machine comes later than what ends within a part of a boot.
@@ -440,7 +440,7 @@
     /// Whether the start aim of the job's class, if it has one, leaves the time of two boots.
     fn has_time_for_provisioning(&self, spec: &JobSpec) -> bool {
         let boot = self.machine_types.values().map(MachineType::boot).max();
-        let within = self.config.wait_within.get(&spec.class);
+        let within = self.config.max_start_delay.get(&spec.class);
         within.is_none_or(|w| boot.is_some_and(|b| *w > b.scaled(2, 1)))
     }
 
--- a/src/scheduler/scenarios/commands.rs
+++ b/src/scheduler/scenarios/commands.rs
@@ -119,7 +119,7 @@
     assert!(matches!(batch[0], Write::Chunk { places: true, .. }));
     // The commit found the end key taken.
     t.s.batch_dropped(&batch);
-    t.s.on_job_ended_elsewhere(&job);
+    t.s.on_job_already_ended(&job);
     t.commit();
     assert_eq!(runs(&t.ask("m-1")), 0);
     assert_eq!(t.free_of("m-1"), 2);
@@ -305,7 +305,7 @@
 #[test]
 fn unsent_placements_of_an_unreachable_machine_go_elsewhere() {
     let mut t = Scenario::new(0.0);
-    t.s.config.idle = Some(Micros::secs(10_000));
+    t.s.config.idle_timeout = Some(Micros::secs(10_000));
     t.worker("m-1", "b", false);
     t.worker("m-2", "a", false);
     t.submit(spec("j-1", 2));
@@ -409,7 +409,7 @@
     let at = report.position();
     assert_eq!(t.s.commands_for(&report.machine, at, t.now), vec![]);
     t.s.batch_dropped(&batch);
-    t.s.on_job_ended_elsewhere(&job);
+    t.s.on_job_already_ended(&job);
     t.s.end_job(&job, aborted(1));
     assert!(
         !t.s.next_batch(20, 36_000, false)
--- a/src/scheduler/scenarios/failure_detection.rs
+++ b/src/scheduler/scenarios/failure_detection.rs
@@ -162,7 +162,7 @@
 #[test]
 fn a_machine_that_acknowledges_no_answer_gets_no_offers_and_is_terminated() {
     let mut t = Scenario::new(0.0);
-    t.s.config.idle = Some(Micros::secs(10_000));
+    t.s.config.idle_timeout = Some(Micros::secs(10_000));
     for i in 1..9 {
         t.worker(&format!("m-{i}"), "a", false);
     }
@@ -216,7 +216,7 @@
 #[test]
 fn many_machines_that_acknowledge_no_answer_are_taken_for_a_partition() {
     let mut t = Scenario::new(0.0);
-    t.s.config.idle = Some(Micros::secs(10_000));
+    t.s.config.idle_timeout = Some(Micros::secs(10_000));
     for i in 0..8 {
         t.worker(&format!("m-{i}"), "a", false);
     }
@@ -302,7 +302,7 @@
 #[test]
 fn suspicion_is_suppressed_for_workers_of_an_isolated_controller() {
     let mut t = Scenario::new(0.0);
-    t.s.config.idle = Some(Micros::secs(10_000));
+    t.s.config.idle_timeout = Some(Micros::secs(10_000));
     for i in 0..10 {
         t.worker(&format!("m-{i}"), "a", false);
     }
@@ -352,7 +352,7 @@
 #[test]
 fn many_late_workers_of_one_controller_get_the_grace_period_of_a_reconnect() {
     let mut t = Scenario::new(0.0);
-    t.s.config.idle = Some(Micros::secs(10_000));
+    t.s.config.idle_timeout = Some(Micros::secs(10_000));
     for i in 0..40 {
         t.via = ["n-1", "n-2", "n-3", "n-4", "n-5"][i % 5];
         t.worker(&format!("m-{i:02}"), ["a", "b"][i % 2], false);
@@ -378,7 +378,7 @@
 #[test]
 fn a_stopped_path_is_no_failure_of_its_machines() {
     let mut t = Scenario::new(0.0);
-    t.s.config.idle = Some(Micros::secs(10_000));
+    t.s.config.idle_timeout = Some(Micros::secs(10_000));
     let via = |i: usize| if i.is_multiple_of(10) { "n-1" } else { "" };
     for i in 0..300 {
         t.via = via(i);
@@ -407,7 +407,7 @@
 #[test]
 fn an_unreachable_zone_is_not_terminated_before_its_leases_end() {
     let mut t = Scenario::new(0.0);
-    t.s.config.idle = Some(Micros::secs(10_000));
+    t.s.config.idle_timeout = Some(Micros::secs(10_000));
     t.s.config.heartbeat_interval = Micros::secs(6);
     for i in 0..60 {
         t.worker(&format!("m-{i}"), ["a", "a", "b"][i % 3], false);
@@ -434,7 +434,7 @@
 #[test]
 fn a_process_pause_of_the_leader_is_no_silence_of_its_machines() {
     let mut t = Scenario::new(0.0);
-    t.s.config.idle = Some(Micros::secs(10_000));
+    t.s.config.idle_timeout = Some(Micros::secs(10_000));
     for i in 0..20 {
         t.worker(&format!("m-{i}"), "a", false);
     }
@@ -470,7 +470,7 @@
 #[test]
 fn a_leader_with_too_many_workers_redirects_them_gradually_once_controllers_are_stable() {
     let mut t = Scenario::new(0.0);
-    t.s.config.idle = Some(Micros::secs(10_000));
+    t.s.config.idle_timeout = Some(Micros::secs(10_000));
     t.via = "";
     for i in 0..30 {
         t.worker(&format!("m-{i:02}"), "a", false);
@@ -501,7 +501,7 @@
 #[test]
 fn a_partition_that_only_others_see_resets_stability() {
     let mut t = Scenario::new(0.0);
-    t.s.config.idle = Some(Micros::secs(10_000));
+    t.s.config.idle_timeout = Some(Micros::secs(10_000));
     for i in 0..20 {
         t.worker(&format!("m-{i:02}"), ["a", "b"][i % 2], false);
     }
@@ -549,6 +549,6 @@
             given_up.get_or_insert(second);
         }
     }
-    let lease = config().lease.0 / 1_000_000;
+    let lease = config().agent_lease.0 / 1_000_000;
     assert!(given_up.is_some_and(|s| s > lease), "{given_up:?}");
 }
--- a/src/scheduler/scenarios/fleet.rs
+++ b/src/scheduler/scenarios/fleet.rs
@@ -112,7 +112,7 @@
 #[test]
 fn a_scattered_service_is_consolidated_and_its_machine_terminated() {
     let mut t = Scenario::new(0.0);
-    t.s.config.reserve = Some(0);
+    t.s.config.reserved_places = Some(0);
     t.s.set_controllers(&[], t.now);
     t.worker("m-1", "a", false);
     let filler = t.submit(live("j-0"));
@@ -184,7 +184,7 @@
     // An aim that leaves time for boots does not make it hurry.
     let aim = |t: &mut Scenario, s: u64| {
         t.s.config
-            .wait_within
+            .max_start_delay
             .insert("batch".into(), Micros::secs(s))
     };
     aim(&mut t, 150);
@@ -205,7 +205,7 @@
 #[test]
 fn a_large_scattered_service_is_consolidated_faster_but_never_much_of_it_at_once() {
     let mut t = Scenario::new(0.0);
-    t.s.config.reserve = Some(0);
+    t.s.config.reserved_places = Some(0);
     t.s.set_controllers(&[], t.now);
     let fillers: Vec<JobId> = (0..400)
         .map(|i| t.submit(live(&format!("j-{i:04}"))))
@@ -261,7 +261,7 @@
 fn a_ramp_provisions_more_machines_than_wait_and_a_small_job_does_not() {
     let rented = |tasks: u32| {
         let mut t = Scenario::new(0.0);
-        t.s.config.reserve = Some(0);
+        t.s.config.reserved_places = Some(0);
         t.s.config.max_scale_out_per_cycle = 1_000;
         let big = JobSpec {
             tasks,
@@ -280,7 +280,7 @@
 #[test]
 fn an_unreachable_zone_is_provisioned_last() {
     let mut t = Scenario::new(0.0);
-    t.s.config.idle = Some(Micros::secs(10_000));
+    t.s.config.idle_timeout = Some(Micros::secs(10_000));
     for i in 0..8 {
         t.worker(&format!("m-{i}"), ["a", "b", "b", "b"][i % 4], false);
     }
--- a/src/scheduler/scenarios/latency_sensitive.rs
+++ b/src/scheduler/scenarios/latency_sensitive.rs
@@ -22,7 +22,7 @@
 #[test]
 fn what_a_team_is_guaranteed_takes_the_room_made_for_it_and_keeps_it() {
     let mut t = Scenario::new(0.0);
-    t.s.config.guarantee_within = Some(Micros::secs(15));
+    t.s.config.guarantee_start_delay = Some(Micros::secs(15));
     for (name, cards) in [("owed", 2.0), ("borrows", 1.0)] {
         let share = TeamQuota::new(0.0, 0.0, cards, 0.0);
         t.s.teams.insert(name.into(), share);
@@ -79,7 +79,7 @@
 fn an_array_is_not_stopped_for_a_higher_one_before_it_ran_for_a_while() {
     let mut t = Scenario::new(0.0);
     t.s.config
-        .wait_within
+        .max_start_delay
         .insert("fast".into(), Micros::secs(8));
     let whole_machine = JobSpec {
         cores: 16.0,
@@ -120,7 +120,7 @@
 fn a_guarantee_waits_for_short_borrowed_tasks_but_not_for_long_ones() {
     let stops = |expect_s: f64| {
         let mut t = Scenario::new(0.0);
-        t.s.config.guarantee_within = Some(Micros::secs(10));
+        t.s.config.guarantee_start_delay = Some(Micros::secs(10));
         for team in ["owed", "borrows"] {
             let share = TeamQuota::new(0.0, 0.0, 1.0, 0.0);
             t.s.teams.insert(team.into(), share);
--- a/src/scheduler/scenarios/mod.rs
+++ b/src/scheduler/scenarios/mod.rs
@@ -135,20 +135,20 @@
 
 fn config() -> SchedulerConfig {
     SchedulerConfig {
-        retry: Micros::millis(400),
-        jitter: Micros::millis(100),
-        idle: None,
-        reserve: None,
+        retry_interval: Micros::millis(400),
+        max_retry_jitter: Micros::millis(100),
+        idle_timeout: None,
+        reserved_places: None,
         max_offers_per_cycle: 20_000,
         max_scale_out_per_cycle: 24,
         recovery_report: true,
         controllers: 3,
         heartbeat_interval: Micros::secs(3),
-        lease: Micros::secs(36),
-        cancel: Micros::secs(60),
+        agent_lease: Micros::secs(36),
+        cancellation_timeout: Micros::secs(60),
         list_lag: Micros::secs(6),
-        wait_within: BTreeMap::from([("live".into(), Micros::secs(12))]),
-        guarantee_within: None,
+        max_start_delay: BTreeMap::from([("live".into(), Micros::secs(12))]),
+        guarantee_start_delay: None,
     }
 }
 
--- a/src/scheduler/scenarios/queue_order.rs
+++ b/src/scheduler/scenarios/queue_order.rs
@@ -74,7 +74,7 @@
 #[test]
 fn a_guarantee_is_taken_from_what_is_lent_but_not_from_another_guarantee() {
     let mut t = Scenario::new(0.0);
-    t.s.config.guarantee_within = Some(Micros::secs(15));
+    t.s.config.guarantee_start_delay = Some(Micros::secs(15));
     for name in ["one", "two"] {
         t.s.teams
             .insert(name.into(), TeamQuota::new(0.0, 0.0, 1.0, 0.0));
@@ -257,7 +257,7 @@
 /// Lets small jobs come as fast as small tasks end, one task a second, and says after how many seconds a task of the
 /// large job runs.
 fn begins_among_small_ones(t: &mut Scenario, small: &JobSpec, large: JobSpec) -> u64 {
-    t.s.config.idle = Some(Micros::secs(10_000));
+    t.s.config.idle_timeout = Some(Micros::secs(10_000));
     let mut next = 0;
     let mut small_job = |t: &mut Scenario| {
         next += 1;
--- a/src/scheduler/writes.rs
+++ b/src/scheduler/writes.rs
@@ -184,9 +184,9 @@
         let mut left = ops;
         let mut size = 0;
         let waited_enough = if short {
-            self.latest.since(MAX_FINISH_DELAY)
+            self.last_event_at.since(MAX_FINISH_DELAY)
         } else {
-            self.latest
+            self.last_event_at
         };
         let ready = self.deferred.take_until(waited_enough);
         self.dirty.extend(ready);
@@ -248,7 +248,7 @@
         let waits = !job.ending
             && job.done < job.spec.tasks
             && chunk.live.values().all(|p| p.committed)
-            && self.latest.since(chunk.changed_at) < MAX_FINISH_DELAY;
+            && self.last_event_at.since(chunk.changed_at) < MAX_FINISH_DELAY;
         waits.then_some(chunk.changed_at)
     }
 
@@ -275,7 +275,7 @@
     fn add_images(&mut self, batch: &mut Vec<Write>, left: &mut usize) {
         let mut room = IMAGES_PER_BATCH.min(*left);
         while room > 0 {
-            let Some(machine) = self.new_images.pop_first() else {
+            let Some(machine) = self.unwritten_images.pop_first() else {
                 return;
             };
             let images = match self.machines.get_mut(&machine) {
@@ -400,7 +400,7 @@
         }
         if whole && let Some(job) = self.jobs.remove(id) {
             self.guarantees.remove(&job);
-            self.job_index.forget(id);
+            self.job_index.remove(id);
             self.terminal.remove(id);
             self.drop_changes(&job);
         }
@@ -442,7 +442,7 @@
                     if let Some(m) = self.machines.get_mut(machine) {
                         m.written_images.clear();
                     }
-                    self.new_images.insert(machine.clone());
+                    self.unwritten_images.insert(machine.clone());
                 }
                 Write::Forget { .. } => {}
             }
