--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -60,7 +60,8 @@
     pub retry_interval: Micros,
     /// Upper bound of the random time added to the retry interval.
     pub max_retry_jitter: Micros,
-    /// Time after which an empty machine is terminated. `None`: an eighth of the provisioning time of a replacement.
+    /// Time after which an empty machine is terminated. `None`: an eighth of the time that it takes to provision a
+    /// replacement, or all of that time while latency-sensitive work was recently seen for such machines.
     pub idle_timeout: Option<Micros>,
     /// Number of free places kept for classes that can't wait for a machine to be provisioned. `None`: derived from the
     /// arrivals of their jobs.
@@ -133,7 +134,8 @@
     accelerator_headroom: BTreeMap<Priority, Resources>,
     /// Chunks to write, in descending order of priority.
     dirty: BTreeSet<writes::ChunkPlace>,
-    /// Chunks whose changes are deferred, to be written together with others of the same job while writes are scarce.
+    /// Chunks whose changes are deferred, to be written together with others of their job while few writes are
+    /// possible.
     deferred: writes::Deferred,
     finished: BTreeSet<JobId>,
     terminal: BTreeSet<JobId>,
