--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -134,11 +134,11 @@
             .borrow_mut()
             .on_heartbeat(heartbeat, via, now);
         let unwritten = term.scheduler.borrow().awaits_write(&heartbeat.machine);
-        if outcome.fresh && (outcome.changed || unwritten) {
+        if outcome.is_newest && (outcome.changed || unwritten) {
             // What the heartbeat brought is written, and what it made room for is placed, before the worker is answered.
             term.await_next_cycle().await;
         }
-        let commands = if !outcome.fresh {
+        let commands = if !outcome.is_newest {
             Vec::new()
         } else if term.may_send_commands(self.clock.now()) {
             let at = heartbeat.position();
@@ -147,7 +147,7 @@
         } else {
             self.stop_commands_for_cancelled(heartbeat)
         };
-        let is_idle = outcome.fresh && !outcome.changed && commands.is_empty();
+        let is_idle = outcome.is_newest && !outcome.changed && commands.is_empty();
         let may_redirect = via.is_empty() && is_idle && heartbeat.token == term.token();
         Some(Answer {
             token: term.token(),
--- a/src/leader/commit.rs
+++ b/src/leader/commit.rs
@@ -79,7 +79,7 @@
         let mut scheduler = self.term.scheduler.borrow_mut();
         scheduler.batch_applied(batch, revision);
         for write in batch {
-            if let Write::Done { job, tasks } | Write::Whole { job, tasks, .. } = write {
+            if let Write::Done { job, tasks } | Write::DoneAndRemove { job, tasks, .. } = write {
                 info!("event=job_done job={job} tasks={tasks}");
             }
         }
@@ -113,7 +113,7 @@
             return Err(TermEnd::UnexpectedConflict);
         }
         let mut scheduler = self.term.scheduler.borrow_mut();
-        scheduler.batch_dropped(attempt.batch);
+        scheduler.batch_not_applied(attempt.batch);
         for job in ended {
             scheduler.on_job_ended_elsewhere(&job);
         }
@@ -186,17 +186,17 @@
                 chunk,
                 record,
                 version,
-                places,
+                has_new_placements,
             } => {
                 let key = chunk_key(job, *chunk);
                 self.require(&key, *version);
-                if *places {
+                if *has_new_placements {
                     self.require(&end_key(job), Revision::NONE);
                 }
                 self.changes.push(key.put(record));
             }
             Write::Done { job, tasks } => self.add_end(job, *tasks, at),
-            Write::Whole {
+            Write::DoneAndRemove {
                 job,
                 tasks,
                 version,
@@ -210,7 +210,11 @@
                 let change = images.as_ref().map(|images| key.put(images));
                 self.changes.push(change.unwrap_or_else(|| key.delete()));
             }
-            Write::Forget { job, chunks, whole } => self.forget(job, chunks, *whole),
+            Write::Remove {
+                job,
+                chunks,
+                is_last,
+            } => self.forget(job, chunks, *is_last),
         }
     }
 
@@ -253,14 +257,14 @@
         Write::Chunk {
             job, chunk, record, ..
         } => (chunk_key(job, *chunk), Some(encode(record))),
-        Write::Done { job, tasks } | Write::Whole { job, tasks, .. } => {
+        Write::Done { job, tasks } | Write::DoneAndRemove { job, tasks, .. } => {
             (end_key(job), Some(encode(&done_record(*tasks, at))))
         }
         Write::Images { machine, images } => (
             StoreKey::Images(machine.clone()),
             images.as_ref().map(encode),
         ),
-        Write::Forget { job, chunks, .. } => match chunks.first() {
+        Write::Remove { job, chunks, .. } => match chunks.first() {
             Some((chunk, _)) => (chunk_key(job, *chunk), None),
             None => (job_key(job), None),
         },
--- a/src/scheduler/commands.rs
+++ b/src/scheduler/commands.rs
@@ -13,14 +13,14 @@
 
 /// The commands of an answer in the making, and what the next heartbeat should show of them.
 #[derive(Default)]
-struct Answer {
+struct HeartbeatResponse {
     commands: Vec<AgentCommand>,
     /// Go after the others, and are left out of no answer.
     starts: Vec<AgentCommand>,
     expected_effects: Vec<(TaskId, u64, ExpectedEffect)>,
 }
 
-impl Answer {
+impl HeartbeatResponse {
     fn is_full(&self) -> bool {
         self.starts.len() + self.commands.len() >= MAX_COMMANDS
     }
@@ -66,27 +66,27 @@
     pub fn commands_for(
         &mut self,
         machine: &MachineId,
-        report: HeartbeatPosition,
+        position: HeartbeatPosition,
         now: Micros,
     ) -> Vec<AgentCommand> {
         let newest = self.machines.get(machine).and_then(|m| m.newest);
-        if newest == Some(report) {
+        if newest == Some(position) {
             self.task_to_move(machine, now);
         }
         let Some(m) = self.machines.get(machine) else {
             return Vec::new();
         };
-        if m.newest != Some(report) {
+        if m.newest != Some(position) {
             return Vec::new();
         }
-        let takes_starts = m.takes_offers();
+        let accepts_starts = m.takes_offers();
         let placed: Vec<TaskId> = m.reserved.keys().cloned().collect();
-        let mut answer = Answer::default();
-        self.clear_exited(m, &mut answer);
-        self.stop_unexpected(m, &mut answer);
+        let mut response = HeartbeatResponse::default();
+        self.clear_exited(m, &mut response);
+        self.stop_unexpected(m, &mut response);
         let mut unsent = Vec::new();
         for task in placed {
-            if self.command_placed(&task, report, takes_starts, &mut answer) {
+            if self.command_placed(&task, position, accepts_starts, &mut response) {
                 unsent.push(task);
             }
         }
@@ -94,33 +94,33 @@
             self.release(&task.job, task.index);
         }
         if let Some(m) = self.machines.get_mut(machine) {
-            m.expected_effects = std::mem::take(&mut answer.expected_effects);
+            m.expected_effects = std::mem::take(&mut response.expected_effects);
         }
-        answer.into_commands()
+        response.into_commands()
     }
 
     /// Clears the exited tasks of a machine whose worker may forget them.
-    fn clear_exited(&self, m: &Machine, answer: &mut Answer) {
+    fn clear_exited(&self, m: &Machine, response: &mut HeartbeatResponse) {
         for (task, attempt) in &m.exited {
             // A finish must be written before its worker forgets it.
             let written = self.jobs.get(&task.job).is_none_or(|j| {
                 j.end.is_some() || !j.is_finished(task.index) || j.is_finish_committed(task.index)
             });
             if written {
-                answer.clear(task, *attempt);
+                response.clear(task, *attempt);
             }
         }
     }
 
     /// Stops what runs on a machine without a placement.
-    fn stop_unexpected(&self, m: &Machine, answer: &mut Answer) {
+    fn stop_unexpected(&self, m: &Machine, response: &mut HeartbeatResponse) {
         // After a loss it may be that only the record of its job is missing yet.
         let may_be_known = self.is_rebuilding();
         for (task, attempt) in m.unexpected_tasks.keys() {
             if may_be_known && !self.jobs.contains_key(&task.job) {
                 continue;
             }
-            answer.stop(task, *attempt, 0.0);
+            response.stop(task, *attempt, 0.0);
         }
     }
 
@@ -128,32 +128,32 @@
     fn command_placed(
         &mut self,
         task: &TaskId,
-        report: HeartbeatPosition,
-        takes_starts: bool,
-        answer: &mut Answer,
+        position: HeartbeatPosition,
+        accepts_starts: bool,
+        response: &mut HeartbeatResponse,
     ) -> bool {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return false;
         };
         let cancelled = job.ending;
-        let slack = job.spec.save_slack();
+        let save_grace_s = job.spec.save_grace_s();
         let Some(p) = job.placement_mut(task.index) else {
             return false;
         };
         let never_sent = !p.inherited && p.sent.is_none();
         let is_stopped = cancelled || p.stopping.is_some();
-        if never_sent && (is_stopped || !takes_starts) {
+        if never_sent && (is_stopped || !accepts_starts) {
             return true;
         }
         if is_stopped {
             // What a cancelled task would save is of no use to anybody.
             if cancelled || p.reported_state != Some(TaskState::Saving) {
-                let slack_s = if cancelled { 0.0 } else { slack.ceil() };
-                answer.stop(task, p.attempt, slack_s);
+                let slack_s = if cancelled { 0.0 } else { save_grace_s.ceil() };
+                response.stop(task, p.attempt, slack_s);
             }
-        } else if never_sent && p.committed && !answer.is_full() {
-            p.sent = Some(report);
-            answer.start(task, p.attempt);
+        } else if never_sent && p.committed && !response.is_full() {
+            p.sent = Some(position);
+            response.start(task, p.attempt);
         }
         false
     }
@@ -179,10 +179,10 @@
             let Some(job) = self.jobs.get_mut(&task.job) else {
                 continue;
             };
-            let saves = job.spec.save_slack() > 0.0;
+            let can_save = job.spec.save_grace_s() > 0.0;
             if let Some(p) = job.placement_mut(task.index)
                 && p.stopping.is_none()
-                && (saves || p.running_since.is_none())
+                && (can_save || p.running_since.is_none())
             {
                 p.stopping = Some(StopReason::Drained);
             }
--- a/src/scheduler/events.rs
+++ b/src/scheduler/events.rs
@@ -51,7 +51,7 @@
         /// Whether they are spot machines.
         spot: bool,
         /// The longest time without contact to one of them.
-        quiet: Micros,
+        since_contact: Micros,
         /// Tasks that were placed on them.
         tasks: Vec<TaskId>,
     },
@@ -121,7 +121,7 @@
         /// The machine.
         machine: MachineId,
         /// The job that gets its resources.
-        by: JobId,
+        preempting_job: JobId,
     },
     /// A worker refused to start a task.
     TaskStartRefused {
@@ -180,7 +180,7 @@
         /// Whether a machine list is recent enough to have every machine.
         listed: bool,
         /// Machines that did not report yet.
-        unheard: usize,
+        unreported: usize,
     },
     /// After a loss of stored state: every machine has reported.
     RebuildConfirmed {
@@ -288,11 +288,11 @@
                 cause,
                 zone,
                 spot,
-                quiet,
+                since_contact,
                 tasks,
             } => write!(
                 f,
-                "event=machine_lost machine={} count={} why={cause} zone={zone} spot={spot} quiet={quiet} tasks=[{}]",
+                "event=machine_lost machine={} count={} why={cause} zone={zone} spot={spot} quiet={since_contact} tasks=[{}]",
                 Joined(machines),
                 machines.len(),
                 Joined(tasks)
@@ -335,9 +335,13 @@
             E::JobCrashLooping { job, pause } => {
                 write!(f, "event=job_crash_looping job={job} pause={pause}")
             }
-            E::TaskPreempted { task, machine, by } => write!(
+            E::TaskPreempted {
+                task,
+                machine,
+                preempting_job,
+            } => write!(
                 f,
-                "event=task_preempted task={task} machine={machine} by={by}"
+                "event=task_preempted task={task} machine={machine} by={preempting_job}"
             ),
             E::TaskStartRefused {
                 task,
@@ -379,10 +383,10 @@
             E::RebuildWaiting {
                 token,
                 listed,
-                unheard,
+                unreported,
             } => write!(
                 f,
-                "event=rebuild_waiting token={token} listed={listed} unheard={unheard}"
+                "event=rebuild_waiting token={token} listed={listed} unheard={unreported}"
             ),
             E::RebuildConfirmed {
                 token,
--- a/src/scheduler/events/tests.rs
+++ b/src/scheduler/events/tests.rs
@@ -20,7 +20,7 @@
             cause,
             zone: "a".into(),
             spot: true,
-            quiet: Micros::millis(1_500),
+            since_contact: Micros::millis(1_500),
             tasks: vec![task(0), task(3)],
         };
         assert_eq!(event.level(), EventLevel::Info);
@@ -61,7 +61,7 @@
     let waiting = E::RebuildWaiting {
         token: FencingToken(7),
         listed: false,
-        unheard: 3,
+        unreported: 3,
     };
     for (event, line) in [
         (
--- a/src/scheduler/failure_attribution.rs
+++ b/src/scheduler/failure_attribution.rs
@@ -30,10 +30,10 @@
             job.failed_on.clear();
         }
         job.failed_on.insert(machine.clone());
-        job.failures += 1;
+        job.consecutive_failures += 1;
         if job.crash_looping || job.failed_on.len() >= CRASH_LOOP_MACHINES {
-            let pause = job.pause();
-            job.next_try = now + pause;
+            let pause = job.backoff();
+            job.next_offer_at = now + pause;
             // A service shows no success, and a gang can't be tried one task at a time: their failures are judged anew.
             let is_persistent = job.spec.shape == Shape::Array;
             if job.crash_looping {
--- a/src/scheduler/failure_detection/loss.rs
+++ b/src/scheduler/failure_detection/loss.rs
@@ -98,7 +98,7 @@
                 cause,
                 zone: zone.to_owned(),
                 spot,
-                quiet: quiet.unwrap_or_default(),
+                since_contact: quiet.unwrap_or_default(),
                 tasks: known().flat_map(|m| m.reserved.keys().cloned()).collect(),
             };
             self.events.push(event);
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -204,7 +204,7 @@
                 if let Some(job) = self.jobs.get_mut(&task.job) {
                     let p = job.placement(task.index);
                     let ran = p.is_some_and(|p| p.running_since.is_some());
-                    job.lost_on_spot |= spot && ran && job.spec.save_slack() == 0.0;
+                    job.lost_work_on_spot |= spot && ran && job.spec.save_grace_s() == 0.0;
                 }
                 self.confirm(&task, Resolution::MachineReturned);
                 self.release(&task.job, task.index);
@@ -230,7 +230,7 @@
     pub fn on_list(&mut self, list: &[Listed], asked_at: Micros) {
         let lag = self.config.list_lag;
         self.fleet.listed = true;
-        self.observe_list_in_rebuild(asked_at);
+        self.observe_machine_list_in_rebuild(asked_at);
         let mut listed = HashSet::new();
         for entry in list {
             listed.insert(&entry.machine);
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -137,7 +137,7 @@
     /// What was asked for.
     pub spec: Rc<JobSpec>,
     /// When it was submitted, by the time of day.
-    pub at: u64,
+    pub submitted_at: u64,
     /// Whether it has ended.
     pub end: Option<JobEnd>,
     /// Whether a try to write its end is under way or done.
@@ -151,15 +151,15 @@
     /// Those of them by zone.
     pub live_by_zone: BTreeMap<String, u32>,
     /// When its waiting tasks are offered next.
-    pub next_try: Micros,
+    pub next_offer_at: Micros,
     /// Machines where it failed: they are not offered again.
     pub failed_on: BTreeSet<MachineId>,
     /// Failures in a row, for backing off.
-    pub failures: u32,
+    pub consecutive_failures: u32,
     /// Whether it failed on so many machines, with no success between, that it is itself crash-looping.
     pub crash_looping: bool,
     /// Whether a spot machine was preempted with work of it that could not be saved.
-    pub lost_on_spot: bool,
+    pub lost_work_on_spot: bool,
     /// Pending reservations: machines where tasks are stopped for this job, and until when each is valid.
     pub reservations: Vec<(MachineId, Micros)>,
     /// Until when a task of it that waits is one that was stopped only to be moved.
@@ -170,21 +170,21 @@
 
 impl Job {
     /// A job of which nothing was placed yet.
-    pub fn new(spec: Rc<JobSpec>, at: u64, end: Option<JobEnd>, now: Micros) -> Job {
+    pub fn new(spec: Rc<JobSpec>, submitted_at: u64, end: Option<JobEnd>, now: Micros) -> Job {
         Job {
             spec,
-            at,
+            submitted_at,
             end,
             ending: end.is_some(),
             chunks: BTreeMap::new(),
             done: 0,
             live: 0,
             live_by_zone: BTreeMap::new(),
-            next_try: now,
+            next_offer_at: now,
             failed_on: BTreeSet::new(),
-            failures: 0,
+            consecutive_failures: 0,
             crash_looping: false,
-            lost_on_spot: false,
+            lost_work_on_spot: false,
             reservations: Vec::new(),
             moving_until: Micros::ZERO,
             unplaced_since: None,
@@ -197,7 +197,7 @@
             .spec
             .due_s
             .map_or(DEFAULT_DEADLINE, Micros::from_secs_f64);
-        self.at.saturating_add(due.0)
+        self.submitted_at.saturating_add(due.0)
     }
 
     /// Its queue position among jobs of its priority, as the time of day by which it counts as due.
@@ -207,7 +207,7 @@
     /// to what may still be in time, but only so far, so that none waits for ever.
     pub fn queue_position(&self, unix_time: u64) -> u64 {
         let due = self.due_at();
-        let allowed = due - self.at;
+        let allowed = due - self.submitted_at;
         let done_at = unix_time.saturating_add(Micros::from_secs_f64(self.spec.expect_s).0);
         if self.spec.due_s.is_none() || done_at <= due {
             due
@@ -231,7 +231,7 @@
     ///
     /// Guards against a large job submitted with a mistake: all of its tasks would be started, and provisioned for, again and
     /// again, only to fail.
-    pub fn open(&self) -> u32 {
+    pub fn schedulable_tasks(&self) -> u32 {
         if self.crash_looping {
             self.waiting().min(1)
         } else {
@@ -240,14 +240,14 @@
     }
 
     /// Its backoff after the latest failure.
-    pub fn pause(&self) -> Micros {
-        Micros::secs(1 << self.failures.min(5)).min(MAX_BACKOFF)
+    pub fn backoff(&self) -> Micros {
+        Micros::secs(1 << self.consecutive_failures.min(5)).min(MAX_BACKOFF)
     }
 
     /// Whether its tasks may go to such a machine. What lost its work on a spot machine once does not use one again:
     /// a job without checkpoints could lose it over and over and never be in time.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
-        self.spec.allows(machine_type, zone, spot) && !(spot && self.lost_on_spot)
+        self.spec.allows(machine_type, zone, spot) && !(spot && self.lost_work_on_spot)
     }
 
     /// The first waiting task at or after `from`.
--- a/src/scheduler/job_index.rs
+++ b/src/scheduler/job_index.rs
@@ -31,7 +31,7 @@
 
     /// The next try of a job with waiting tasks may be sooner than before.
     pub(super) fn schedule(&mut self, job: &Job) {
-        self.tries.insert((job.next_try, job.spec.id.clone()));
+        self.tries.insert((job.next_offer_at, job.spec.id.clone()));
     }
 
     /// Returns the jobs to be offered now, which must be scheduled again afterwards, and the number of entries examined.
@@ -50,7 +50,7 @@
             let Some(job) = jobs.get(&id).filter(|j| j.waiting() > 0) else {
                 continue;
             };
-            if job.next_try > now {
+            if job.next_offer_at > now {
                 self.schedule(job);
             } else {
                 due.insert(id);
--- a/src/scheduler/job_spec.rs
+++ b/src/scheduler/job_spec.rs
@@ -183,7 +183,7 @@
     }
 
     /// The most tasks that may be in one zone.
-    pub fn zone_cap(&self) -> u32 {
+    pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
         } else {
@@ -201,7 +201,7 @@
     }
 
     /// How long a stopped task must be given so that it saves; zero where it can't.
-    pub fn save_slack(&self) -> f64 {
+    pub fn save_grace_s(&self) -> f64 {
         if self.checkpoint_s > 0.0 {
             self.save_s
         } else {
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -67,7 +67,7 @@
 
 impl TaskStatus {
     /// Its state as reconciliation sees it.
-    pub fn outcome(&self) -> ReportedState {
+    pub fn reported_state(&self) -> ReportedState {
         match (self.state, self.cause) {
             (TaskState::Exited, Some(ExitCause::Done)) => ReportedState::Completed,
             (TaskState::Exited, _) => ReportedState::Ended,
@@ -125,8 +125,8 @@
 
 impl<'a> TaskStatusIndex<'a> {
     /// The index of a heartbeat.
-    pub fn new(report: &'a Heartbeat) -> TaskStatusIndex<'a> {
-        let tasks = report.tasks.iter();
+    pub fn new(heartbeat: &'a Heartbeat) -> TaskStatusIndex<'a> {
+        let tasks = heartbeat.tasks.iter();
         TaskStatusIndex(tasks.map(|t| ((t.task.as_str(), t.attempt), t)).collect())
     }
 
--- a/src/scheduler/messages/tests.rs
+++ b/src/scheduler/messages/tests.rs
@@ -8,10 +8,10 @@
             {"take": "j-1/0", "try": 2, "status": "dreaming"},
             {"take": "j-1/1", "try": 2, "status": "exited", "cause": "bored"},
             {"take": "j-1/2", "try": 1, "status": "exited", "cause": "no_room"}]});
-    let report: Heartbeat = serde_json::from_value(body).expect("a report");
-    assert_eq!(report.tasks[0].state, TaskState::Other);
-    assert_eq!(report.tasks[1].cause, Some(ExitCause::Other));
-    assert_eq!(report.tasks[2].cause, Some(ExitCause::NoRoom));
+    let heartbeat: Heartbeat = serde_json::from_value(body).expect("a heartbeat");
+    assert_eq!(heartbeat.tasks[0].state, TaskState::Other);
+    assert_eq!(heartbeat.tasks[1].cause, Some(ExitCause::Other));
+    assert_eq!(heartbeat.tasks[2].cause, Some(ExitCause::NoRoom));
 }
 
 #[test]
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -129,9 +129,9 @@
     /// What work without accelerators leaves for each free one, by its priority, as of the last scheduling cycle.
     accelerator_headroom: BTreeMap<Priority, Resources>,
     /// Chunks to be written, those of the highest priority first.
-    dirty: BTreeSet<writes::ChunkPlace>,
+    dirty: BTreeSet<writes::QueuedChunk>,
     /// Chunks whose changes wait for others of their job, as writes are short.
-    deferred: writes::Deferred,
+    deferred: writes::DeferredChunks,
     finished: BTreeSet<JobId>,
     terminal: BTreeSet<JobId>,
     /// Machines whose images are to be written down.
@@ -182,7 +182,7 @@
             job_index: job_index::JobIndex::default(),
             accelerator_headroom: BTreeMap::new(),
             dirty: BTreeSet::new(),
-            deferred: writes::Deferred::default(),
+            deferred: writes::DeferredChunks::default(),
             finished: BTreeSet::new(),
             terminal: BTreeSet::new(),
             new_images: BTreeSet::new(),
@@ -387,7 +387,7 @@
             if let Some(job) = self.jobs.get_mut(id)
                 && job.reservations.iter().any(|(m, _)| m == machine)
             {
-                job.next_try = Micros::ZERO;
+                job.next_offer_at = Micros::ZERO;
                 woken.push(id.clone());
             }
         }
@@ -410,7 +410,7 @@
         let chunk = job.chunks.entry(index / CHUNK_SIZE).or_default();
         chunk.finished |= 1 << (index % CHUNK_SIZE);
         job.done += 1;
-        job.failures = 0;
+        job.consecutive_failures = 0;
         self.guarantees.mark_stale(&job.spec.team);
         self.job_index.update_waiting(job);
         if job.done == job.spec.tasks && !job.ending {
@@ -433,7 +433,7 @@
                 chunk.changed_at = self.latest;
             }
             chunk.dirty = true;
-            let place = writes::ChunkPlace::new(job.spec.priority, id, number);
+            let place = writes::QueuedChunk::new(job.spec.priority, id, number);
             self.deferred.remove(&place);
             self.dirty.insert(place);
         }
@@ -442,7 +442,7 @@
     /// Makes a job with waiting tasks due now.
     pub(super) fn requeue(&mut self, id: &JobId, now: Micros) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.next_try = job.next_try.min(now);
+            job.next_offer_at = job.next_offer_at.min(now);
             self.job_index.schedule(job);
         }
     }
--- a/src/scheduler/offers.rs
+++ b/src/scheduler/offers.rs
@@ -99,7 +99,7 @@
     ) {
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
-        let may_use_spot = spec.spot && !job.lost_on_spot;
+        let may_use_spot = spec.spot && !job.lost_work_on_spot;
         if spec.is_gang() {
             self.offer_whole(id, machines, order, now);
             return;
@@ -219,13 +219,13 @@
             && job.waiting() > 0
         {
             let pause = if job.crash_looping {
-                job.pause()
+                job.backoff()
             } else if job.spec.priority == Priority::Critical {
                 self.config.retry
             } else {
                 self.config.retry.scaled(intervals as u64, 1)
             };
-            job.next_try = now + pause + Micros(jitter);
+            job.next_offer_at = now + pause + Micros(jitter);
             self.job_index.schedule(job);
         }
     }
@@ -394,7 +394,7 @@
         let need = spec.need();
         let accelerator_headroom = self.accelerator_headroom.get(&spec.priority);
         let accelerator_headroom = accelerator_headroom.copied().unwrap_or_default();
-        let mut budget = job.open() as usize;
+        let mut budget = job.schedulable_tasks() as usize;
         if !spec.is_gang() {
             budget = budget.min(TASKS_PER_JOB.max(self.machines.len()));
         }
@@ -531,5 +531,5 @@
     if job.spec.together && all > here {
         return false;
     }
-    here + unknown + planned < job.spec.zone_cap()
+    here + unknown + planned < job.spec.max_tasks_per_zone()
 }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -70,7 +70,7 @@
     ) {
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
-        let open = (job.open() as usize).saturating_sub(job.reservations.len());
+        let open = (job.schedulable_tasks() as usize).saturating_sub(job.reservations.len());
         if !self.config.wait_within.contains_key(&spec.class) && !self.is_entitled(id) {
             return;
         }
@@ -98,7 +98,7 @@
             let save = victims
                 .iter()
                 .filter_map(|t| spec_of(&self.jobs, &t.job))
-                .map(|s| Micros::from_secs_f64(s.save_slack()))
+                .map(|s| Micros::from_secs_f64(s.save_grace_s()))
                 .max()
                 .unwrap_or_default();
             // The stop waits for a heartbeat, the exit is reported within a second, and then the reservation is used.
@@ -126,7 +126,7 @@
         self.events.push(SchedulerEvent::TaskPreempted {
             task: task.clone(),
             machine: p.machine.clone(),
-            by: by.clone(),
+            preempting_job: by.clone(),
         });
     }
 
@@ -250,7 +250,7 @@
         if both_arrays && ran < MIN_RUN_TIME && (!lent || is_short) {
             return None;
         }
-        let save = Micros::from_secs_f64(job.spec.save_slack());
+        let save = Micros::from_secs_f64(job.spec.save_grace_s());
         let lost = if save > Micros::ZERO {
             save.min(ran)
         } else {
@@ -272,7 +272,7 @@
         let whole = Micros::from_secs_f64(job.spec.expect_s);
         let left = whole.since(ran);
         let breaks = [2, 3].into_iter().any(|halves| {
-            let due = job.at + Micros::from_secs_f64(due_s).scaled(halves, 2).0;
+            let due = job.submitted_at + Micros::from_secs_f64(due_s).scaled(halves, 2).0;
             let spare = due.saturating_sub(self.unix_time);
             spare >= left.0 && spare < (left + MIN_RUN_TIME).0
         });
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -90,14 +90,14 @@
     /// Adds a job.
     pub(super) fn add(&mut self, job: &Job) {
         let team = self.by_age.entry(job.spec.team.clone()).or_default();
-        team.insert((job.at, job.spec.id.clone()));
+        team.insert((job.submitted_at, job.spec.id.clone()));
         self.mark_stale(&job.spec.team);
     }
 
     /// Removes a job.
     pub(super) fn remove(&mut self, job: &Job) {
         if let Some(team) = self.by_age.get_mut(&job.spec.team) {
-            team.remove(&(job.at, job.spec.id.clone()));
+            team.remove(&(job.submitted_at, job.spec.id.clone()));
         }
         self.mark_stale(&job.spec.team);
     }
--- a/src/scheduler/rebuild.rs
+++ b/src/scheduler/rebuild.rs
@@ -24,8 +24,8 @@
 
 impl Scheduler {
     /// Begins a term after the loss of stored state with this number: offers wait until all machines have reported.
-    pub fn begin_rebuild(&mut self, number: u64, now: Micros) {
-        self.raise_attempts(number);
+    pub fn begin_rebuild(&mut self, loss_number: u64, now: Micros) {
+        self.raise_min_attempt(loss_number);
         self.rebuild = Some(Rebuild {
             listed: false,
             logged_at: now,
@@ -33,7 +33,7 @@
     }
 
     /// Raises the attempts above all that were given out before the last loss.
-    pub fn raise_attempts(&mut self, losses: u64) {
+    pub fn raise_min_attempt(&mut self, losses: u64) {
         self.min_attempt = losses * ATTEMPTS_PER_LOSS;
     }
 
@@ -43,17 +43,17 @@
     }
 
     /// The machine list was read, and was asked for at this time.
-    pub(super) fn observe_list_in_rebuild(&mut self, asked_at: Micros) {
+    pub(super) fn observe_machine_list_in_rebuild(&mut self, requested_at: Micros) {
         let lag = self.config.list_lag.scaled(2, 1) + Micros::secs(1);
-        let is_late = asked_at.since(self.started_at) > lag;
+        let is_recent_enough = requested_at.since(self.started_at) > lag;
         if let Some(rebuild) = &mut self.rebuild {
-            rebuild.listed |= is_late;
+            rebuild.listed |= is_recent_enough;
         }
     }
 
     /// Returns true once every machine has reported what is on it, or is gone.
     pub fn check_rebuild(&mut self, now: Micros) -> bool {
-        let unheard = self
+        let unreported = self
             .machines
             .values()
             .filter(|m| {
@@ -66,7 +66,7 @@
         let Some(rebuild) = &mut self.rebuild else {
             return false;
         };
-        if rebuild.listed && unheard == 0 {
+        if rebuild.listed && unreported == 0 {
             self.rebuild = None;
             self.events.push(SchedulerEvent::RebuildConfirmed {
                 token: self.token,
@@ -80,7 +80,7 @@
             self.events.push(SchedulerEvent::RebuildWaiting {
                 token: self.token,
                 listed: rebuild.listed,
-                unheard,
+                unreported,
             });
         }
         false
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -14,33 +14,33 @@
 use std::collections::BTreeMap;
 
 /// Pause after a worker refused a start.
-const REFUSED_BACKOFF: Micros = Micros::secs(1);
+const START_REFUSED_BACKOFF: Micros = Micros::secs(1);
 
 impl Scheduler {
     /// Compares the placements on the machine with what it reports.
     pub(super) fn reconcile_placements(
         &mut self,
-        r: &Heartbeat,
+        heartbeat: &Heartbeat,
         index: &TaskStatusIndex<'_>,
         now: Micros,
     ) -> bool {
-        let Some(m) = self.machines.get(&r.machine) else {
+        let Some(m) = self.machines.get(&heartbeat.machine) else {
             return false;
         };
         let reserved: Vec<TaskId> = m.reserved.keys().cloned().collect();
         let context = HeartbeatContext {
-            position: r.position(),
-            shows_token: r.token == self.token,
+            position: heartbeat.position(),
+            shows_token: heartbeat.token == self.token,
             answers_arrive: !m.is_suspect(),
         };
-        self.count_steps(reserved.len() + r.tasks.len());
+        self.count_steps(reserved.len() + heartbeat.tasks.len());
         let mut changed = false;
         for task in reserved {
             let Some(p) = self.placement(&task) else {
                 continue;
             };
-            let found = index.get(&task, p.attempt);
-            changed |= self.reconcile_placement(&task, found, &context, &r.machine, now);
+            let reported = index.get(&task, p.attempt);
+            changed |= self.reconcile_placement(&task, reported, &context, &heartbeat.machine, now);
         }
         changed
     }
@@ -49,7 +49,7 @@
     fn reconcile_placement(
         &mut self,
         task: &TaskId,
-        found: Option<&TaskStatus>,
+        reported: Option<&TaskStatus>,
         context: &HeartbeatContext,
         machine: &MachineId,
         now: Micros,
@@ -62,8 +62,9 @@
             return false;
         };
         let recorded = p.as_recorded(is_wanted);
-        let verdict = reconcile_recorded(&recorded, found.map(TaskStatus::outcome), context);
-        if let Some(t) = found {
+        let verdict =
+            reconcile_recorded(&recorded, reported.map(TaskStatus::reported_state), context);
+        if let Some(t) = reported {
             p.reported_state = Some(t.state);
             if context.shows_token {
                 // The worker has seen this leader's token, so no command of an earlier leader can follow.
@@ -71,18 +72,18 @@
                 p.sent = Some(context.position);
             }
         }
-        if let Some(how) = resolution(verdict) {
-            self.confirm(task, how);
+        if let Some(resolution) = resolution(verdict) {
+            self.confirm(task, resolution);
         }
         match verdict {
             RecordedVerdict::Agrees => {
-                if found.is_some_and(|t| t.state == TaskState::Running) {
+                if reported.is_some_and(|t| t.state == TaskState::Running) {
                     self.record_running(task, machine, now);
                 }
                 false
             }
             RecordedVerdict::Ended { .. } => {
-                self.task_exited(task, machine, found.and_then(|t| t.cause), now);
+                self.task_exited(task, machine, reported.and_then(|t| t.cause), now);
                 true
             }
             RecordedVerdict::Unconfirmed => false,
@@ -160,7 +161,7 @@
             Some(ExitCause::Error) => self.task_failed(task, machine, now),
             Some(ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown) => {
                 if let Some(job) = self.jobs.get_mut(&task.job) {
-                    job.next_try = now + REFUSED_BACKOFF;
+                    job.next_offer_at = now + START_REFUSED_BACKOFF;
                 }
                 self.events.push(SchedulerEvent::TaskStartRefused {
                     task: task.clone(),
@@ -173,25 +174,25 @@
     }
 
     /// Reconciles what is reported but not placed: stale attempts, unknown tasks, tasks that ended before.
-    pub(super) fn reconcile_unplaced(&mut self, r: &Heartbeat, now: Micros) -> bool {
+    pub(super) fn reconcile_unplaced(&mut self, heartbeat: &Heartbeat, now: Micros) -> bool {
         let mut exited = Vec::new();
-        let mut extra = BTreeMap::new();
+        let mut unexpected = BTreeMap::new();
         let mut changed = false;
-        for t in &r.tasks {
+        for t in &heartbeat.tasks {
             let Some(task) = TaskId::parse(&t.task) else {
                 self.events.push(SchedulerEvent::InvalidTask {
-                    machine: r.machine.clone(),
+                    machine: heartbeat.machine.clone(),
                     task: t.task.clone(),
                 });
                 continue;
             };
             let placed = self.placement(&task);
-            if placed.is_some_and(|p| p.machine == r.machine && p.attempt == t.attempt) {
+            if placed.is_some_and(|p| p.machine == heartbeat.machine && p.attempt == t.attempt) {
                 continue;
             }
             self.raise_last_attempt(&task, t.attempt);
             let unrecorded = self.as_unrecorded(&task, t.attempt);
-            let verdict = reconcile_unrecorded(&unrecorded, t.outcome());
+            let verdict = reconcile_unrecorded(&unrecorded, t.reported_state());
             self.count_unrecorded(verdict);
             match verdict {
                 UnrecordedVerdict::FinishedUnwritten => {
@@ -203,7 +204,7 @@
                 UnrecordedVerdict::Adopted => {
                     // Only a lower attempt can be recorded, which was off its machine before this one was given out.
                     self.release(&task.job, task.index);
-                    self.adopt(&task, r, t, now);
+                    self.adopt(&task, heartbeat, t, now);
                     changed = true;
                 }
                 UnrecordedVerdict::OtherAttempt
@@ -211,24 +212,24 @@
                 | UnrecordedVerdict::JobOver
                 | UnrecordedVerdict::Unknown => {
                     let need = self.jobs.get(&task.job).map(|j| j.spec.need());
-                    extra.insert((task, t.attempt), need);
+                    unexpected.insert((task, t.attempt), need);
                 }
             }
         }
-        let Some(m) = self.machines.get_mut(&r.machine) else {
+        let Some(m) = self.machines.get_mut(&heartbeat.machine) else {
             return changed;
         };
-        for room in m.unexpected_tasks.values() {
-            m.used -= *room;
+        for resources in m.unexpected_tasks.values() {
+            m.used -= *resources;
         }
         // The resources of an unknown task are unknown as well: the machine counts as full until it is gone.
         let total = m.total;
-        m.unexpected_tasks = extra
+        m.unexpected_tasks = unexpected
             .into_iter()
             .map(|(task, need)| (task, need.unwrap_or(total)))
             .collect();
-        for room in m.unexpected_tasks.values() {
-            m.used += *room;
+        for resources in m.unexpected_tasks.values() {
+            m.used += *resources;
         }
         m.exited = exited;
         changed
@@ -251,7 +252,7 @@
         }
     }
 
-    fn adopt(&mut self, task: &TaskId, r: &Heartbeat, t: &TaskStatus, now: Micros) {
+    fn adopt(&mut self, task: &TaskId, heartbeat: &Heartbeat, t: &TaskStatus, now: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -260,21 +261,21 @@
         chunk.live.insert(
             (task.index % CHUNK_SIZE) as u8,
             Placement {
-                machine: r.machine.clone(),
+                machine: heartbeat.machine.clone(),
                 attempt: t.attempt,
                 committed: false,
-                inherited: r.token != self.token,
-                sent: Some(r.position()),
+                inherited: heartbeat.token != self.token,
+                sent: Some(heartbeat.position()),
                 reported_state: Some(t.state),
                 running_since: None,
                 stopping: None,
             },
         );
         self.mark_dirty(&task.job, task.index / CHUNK_SIZE);
-        self.reserve_on_machine(&task.job, task.index, &r.machine, now);
+        self.reserve_on_machine(&task.job, task.index, &heartbeat.machine, now);
         self.events.push(SchedulerEvent::TaskAdopted {
             task: task.clone(),
-            machine: r.machine.clone(),
+            machine: heartbeat.machine.clone(),
         });
     }
 }
--- a/src/scheduler/recovery.rs
+++ b/src/scheduler/recovery.rs
@@ -10,7 +10,7 @@
 use ravenhead_recovery::{Progress, Resolution, UnrecordedVerdict};
 
 /// Interval at which progress is logged.
-const PROGRESS_EVERY: Micros = Micros::secs(10);
+const PROGRESS_INTERVAL: Micros = Micros::secs(10);
 
 /// A recovery in progress.
 #[derive(Debug)]
@@ -41,9 +41,11 @@
     }
 
     /// A placement was confirmed, or is known to be no more.
-    pub(super) fn confirm(&mut self, task: &TaskId, how: Resolution) {
+    pub(super) fn confirm(&mut self, task: &TaskId, resolution: Resolution) {
         if let Some(recovery) = &mut self.recovery {
-            recovery.progress.resolve(&task.job.0, task.index, how);
+            recovery
+                .progress
+                .resolve(&task.job.0, task.index, resolution);
         }
     }
 
@@ -67,7 +69,7 @@
                 counts: summary.counts,
             });
             self.recovery = None;
-        } else if now.since(recovery.logged_at) >= PROGRESS_EVERY {
+        } else if now.since(recovery.logged_at) >= PROGRESS_INTERVAL {
             recovery.logged_at = now;
             self.events.push(SchedulerEvent::RecoveryProgress {
                 token: self.token,
--- a/src/scheduler/reserve.rs
+++ b/src/scheduler/reserve.rs
@@ -86,7 +86,7 @@
             let left = (job.spec.tasks - job.done) as usize;
             cores += job.spec.need().times(left).cores;
             any_spot |= job.spec.spot;
-            any_ordinary |= !job.spec.spot || job.lost_on_spot;
+            any_ordinary |= !job.spec.spot || job.lost_work_on_spot;
         }
         if any_spot {
             self.demand.spot_at = Some(now);
@@ -101,7 +101,7 @@
     fn latency_sensitive_reserve(&self) -> Option<Reserve> {
         let counts = |j: &&Job| !j.ending && self.is_latency_sensitive(&j.spec);
         let jobs = || self.jobs.values().filter(counts);
-        let template = jobs().max_by_key(|j| j.at)?.spec.clone();
+        let template = jobs().max_by_key(|j| j.submitted_at)?.spec.clone();
         let typical = self.demand.typical()?;
         let now: i64 = jobs()
             .map(|j| j.spec.need().times(j.live as usize).cores)
@@ -123,10 +123,10 @@
                 continue;
             }
             running += job.live;
-            if unix_time.saturating_sub(job.at) < ARRIVAL_WINDOW.0 {
+            if unix_time.saturating_sub(job.submitted_at) < ARRIVAL_WINDOW.0 {
                 recent += job.spec.tasks;
             }
-            if newest.is_none_or(|n| n.at < job.at) {
+            if newest.is_none_or(|n| n.submitted_at < job.submitted_at) {
                 newest = Some(job);
             }
         }
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -195,7 +195,7 @@
                 usize::MAX
             };
             let mut in_zone: BTreeMap<String, u32> = BTreeMap::new();
-            let mut open = job.open() as usize;
+            let mut open = job.schedulable_tasks() as usize;
             plan.next = 0;
             while open > 0 && left > 0 {
                 left -= 1;
@@ -277,7 +277,7 @@
         self.count_steps(self.job_index.waiting_count());
         let mut waiting: Vec<&Job> = self
             .open_jobs()
-            .filter(|j| j.open() > 0 && j.next_try <= now + Micros::secs(2))
+            .filter(|j| j.schedulable_tasks() > 0 && j.next_offer_at <= now + Micros::secs(2))
             .filter(|j| !(j.crash_looping && any_up))
             .collect();
         self.sort_by_queue_position(&mut waiting);
@@ -405,7 +405,7 @@
         // For latency-sensitive work a provisioned machine comes later than what ends within a part of a boot.
         let patient = spec.due_s.is_none() && self.has_time_for_provisioning(spec)
             || self.is_latency_sensitive(spec);
-        let ordinary_only = !spec.spot || job.lost_on_spot;
+        let ordinary_only = !spec.spot || job.lost_work_on_spot;
         let kind = Kind::of(patient, ordinary_only);
         // What did not take one task of a job does not take the next.
         while let Some(i) = plan.first_from(plan.next, kind, &need) {
--- a/src/scheduler/scenarios/commands.rs
+++ b/src/scheduler/scenarios/commands.rs
@@ -116,9 +116,15 @@
     let job = t.submit(spec("j-1", 1));
     t.s.run_cycle(t.now);
     let batch = t.s.next_batch(20, 36_000, false);
-    assert!(matches!(batch[0], Write::Chunk { places: true, .. }));
+    assert!(matches!(
+        batch[0],
+        Write::Chunk {
+            has_new_placements: true,
+            ..
+        }
+    ));
     // The commit found the end key taken.
-    t.s.batch_dropped(&batch);
+    t.s.batch_not_applied(&batch);
     t.s.on_job_ended_elsewhere(&job);
     t.commit();
     assert_eq!(runs(&t.ask("m-1")), 0);
@@ -356,7 +362,7 @@
     ));
     assert!(matches!(
         t.s.next_batch(20, 36_000, false)[..],
-        [Write::Forget { .. }]
+        [Write::Remove { .. }]
     ));
 }
 
@@ -403,18 +409,21 @@
     let report = t.workers.get_mut("m-1").unwrap().report("m-1");
     t.s.on_heartbeat(&report, "n-1", t.now);
     let batch = t.s.next_batch(20, 36_000, true);
-    assert!(matches!(&batch[..], [Write::Whole { .. }]), "{batch:?}");
+    assert!(
+        matches!(&batch[..], [Write::DoneAndRemove { .. }]),
+        "{batch:?}"
+    );
     assert_eq!(batch[0].ops(), 3);
     // Before it is written its worker keeps the result; where its user cancelled it first, that is how it ended.
     let at = report.position();
     assert_eq!(t.s.commands_for(&report.machine, at, t.now), vec![]);
-    t.s.batch_dropped(&batch);
+    t.s.batch_not_applied(&batch);
     t.s.on_job_ended_elsewhere(&job);
     t.s.end_job(&job, aborted(1));
     assert!(
         !t.s.next_batch(20, 36_000, false)
             .iter()
-            .any(|w| matches!(w, Write::Whole { .. } | Write::Done { .. }))
+            .any(|w| matches!(w, Write::DoneAndRemove { .. } | Write::Done { .. }))
     );
     let clear = t.s.commands_for(&report.machine, at, t.now);
     assert!(matches!(&clear[..], [AgentCommand::Clear { .. }]));
--- a/src/scheduler/scenarios/latency_sensitive.rs
+++ b/src/scheduler/scenarios/latency_sensitive.rs
@@ -230,7 +230,10 @@
     t.s.batch_applied(&batch, t.revision);
     finish(&mut t, 2);
     let batch = t.s.next_batch(20, 36_000, true);
-    assert!(matches!(&batch[..], [Write::Whole { .. }]), "{batch:?}");
+    assert!(
+        matches!(&batch[..], [Write::DoneAndRemove { .. }]),
+        "{batch:?}"
+    );
 }
 
 // Guards against a change for every task that starts, and for every machine that goes back: images are written where they
--- a/src/scheduler/scenarios/mod.rs
+++ b/src/scheduler/scenarios/mod.rs
@@ -278,7 +278,7 @@
                     Write::Done { job, .. } => {
                         self.done.insert(job.clone());
                     }
-                    Write::Whole { job, version, .. } => {
+                    Write::DoneAndRemove { job, version, .. } => {
                         let chunk = self.chunks.remove(&(job.clone(), 0));
                         let before = chunk.map_or(Revision::NONE, |(_, v)| v);
                         assert_eq!(before, *version, "a write must replace what was read");
@@ -291,7 +291,7 @@
                             None => self.images.remove(machine),
                         };
                     }
-                    Write::Forget { job, .. } => self.chunks.retain(|(j, _), _| j != job),
+                    Write::Remove { job, .. } => self.chunks.retain(|(j, _), _| j != job),
                 }
             }
             self.s.batch_applied(&batch, self.revision);
--- a/src/scheduler/scenarios/scale.rs
+++ b/src/scheduler/scenarios/scale.rs
@@ -193,7 +193,7 @@
     backlog(&mut t, 1_000);
     t.submit(live("j-live"));
     t.round();
-    let tries = |t: &Scenario, id: &str| t.s.jobs[&JobId(id.into())].next_try.since(t.now);
+    let tries = |t: &Scenario, id: &str| t.s.jobs[&JobId(id.into())].next_offer_at.since(t.now);
     let later = tries(&t, "j-w000999");
     // A hundred jobs in an interval of 0.4 s, and a job more than a thousand.
     assert!((4_400..=4_500).contains(&later.as_millis()), "{later}");
--- a/src/scheduler/writes.rs
+++ b/src/scheduler/writes.rs
@@ -34,7 +34,7 @@
         /// The version that it replaces.
         version: Revision,
         /// Whether tasks are newly placed by it, so that the job must not be over.
-        places: bool,
+        has_new_placements: bool,
     },
     /// The end of a job whose tasks are all finished.
     Done {
@@ -44,7 +44,7 @@
         tasks: u32,
     },
     /// The end of a job of one chunk with its last finishes, which leaves nothing else of it.
-    Whole {
+    DoneAndRemove {
         /// The job.
         job: JobId,
         /// Its number of tasks.
@@ -60,13 +60,13 @@
         images: Option<Vec<CachedImage>>,
     },
     /// Removal of the records of a job that has ended and has no task left.
-    Forget {
+    Remove {
         /// The job.
         job: JobId,
         /// Its chunks with their versions.
         chunks: Vec<(u32, Revision)>,
         /// Whether these are the last ones, so that the submission's record goes as well.
-        whole: bool,
+        is_last: bool,
     },
 }
 
@@ -75,8 +75,10 @@
     pub fn ops(&self) -> usize {
         match self {
             Write::Chunk { .. } | Write::Done { .. } | Write::Images { .. } => 1,
-            Write::Whole { version, .. } => 2 + usize::from(*version > Revision::NONE),
-            Write::Forget { chunks, whole, .. } => chunks.len() + usize::from(*whole),
+            Write::DoneAndRemove { version, .. } => 2 + usize::from(*version > Revision::NONE),
+            Write::Remove {
+                chunks, is_last, ..
+            } => chunks.len() + usize::from(*is_last),
         }
     }
 
@@ -85,8 +87,8 @@
         match self {
             Write::Chunk { job, .. }
             | Write::Done { job, .. }
-            | Write::Whole { job, .. }
-            | Write::Forget { job, .. } => Some(job),
+            | Write::DoneAndRemove { job, .. }
+            | Write::Remove { job, .. } => Some(job),
             Write::Images { .. } => None,
         }
     }
@@ -94,15 +96,15 @@
 
 /// A chunk's place among those to be written: by its job's priority, the highest first, then by name.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct ChunkPlace {
+pub(super) struct QueuedChunk {
     priority: Reverse<Priority>,
     job: JobId,
     chunk: u32,
 }
 
-impl ChunkPlace {
-    pub(super) fn new(priority: Priority, job: &JobId, chunk: u32) -> ChunkPlace {
-        ChunkPlace {
+impl QueuedChunk {
+    pub(super) fn new(priority: Priority, job: &JobId, chunk: u32) -> QueuedChunk {
+        QueuedChunk {
             priority: Reverse(priority),
             job: job.clone(),
             chunk,
@@ -115,54 +117,54 @@
 /// Guards against looking at every chunk of a job of a hundred thousand tasks again for each batch, only to find that it
 /// still waits.
 #[derive(Debug, Default)]
-pub(super) struct Deferred {
-    by_change: BTreeSet<(Micros, ChunkPlace)>,
+pub(super) struct DeferredChunks {
+    by_change: BTreeSet<(Micros, QueuedChunk)>,
     changed_at: HashMap<JobId, HashMap<u32, Micros>>,
 }
 
-impl Deferred {
-    fn insert(&mut self, place: ChunkPlace, changed_at: Micros) {
-        let chunks = self.changed_at.entry(place.job.clone()).or_default();
-        chunks.insert(place.chunk, changed_at);
-        self.by_change.insert((changed_at, place));
+impl DeferredChunks {
+    fn insert(&mut self, queued: QueuedChunk, changed_at: Micros) {
+        let chunks = self.changed_at.entry(queued.job.clone()).or_default();
+        chunks.insert(queued.chunk, changed_at);
+        self.by_change.insert((changed_at, queued));
     }
 
     /// A chunk waits no more.
-    pub(super) fn remove(&mut self, place: &ChunkPlace) {
-        let Some(chunks) = self.changed_at.get_mut(&place.job) else {
+    pub(super) fn remove(&mut self, queued: &QueuedChunk) {
+        let Some(chunks) = self.changed_at.get_mut(&queued.job) else {
             return;
         };
-        if let Some(changed_at) = chunks.remove(&place.chunk) {
-            self.by_change.remove(&(changed_at, place.clone()));
+        if let Some(changed_at) = chunks.remove(&queued.chunk) {
+            self.by_change.remove(&(changed_at, queued.clone()));
         }
         if chunks.is_empty() {
-            self.changed_at.remove(&place.job);
+            self.changed_at.remove(&queued.job);
         }
     }
 
     /// The chunks that changed at or before this time wait no more.
-    fn take_until(&mut self, time: Micros) -> Vec<ChunkPlace> {
+    fn take_until(&mut self, time: Micros) -> Vec<QueuedChunk> {
         let mut taken = Vec::new();
-        while let Some((changed_at, place)) = self.by_change.first()
+        while let Some((changed_at, queued)) = self.by_change.first()
             && *changed_at <= time
         {
-            let place = place.clone();
-            self.remove(&place);
-            taken.push(place);
+            let queued = queued.clone();
+            self.remove(&queued);
+            taken.push(queued);
         }
         taken
     }
 
     /// The chunks of a job wait no more.
-    fn take_job(&mut self, job: &JobId, priority: Priority) -> Vec<ChunkPlace> {
+    fn take_job(&mut self, job: &JobId, priority: Priority) -> Vec<QueuedChunk> {
         let chunks = self.changed_at.get(job).into_iter().flatten();
-        let places: Vec<ChunkPlace> = chunks
-            .map(|(chunk, _)| ChunkPlace::new(priority, job, *chunk))
+        let queued_chunks: Vec<QueuedChunk> = chunks
+            .map(|(chunk, _)| QueuedChunk::new(priority, job, *chunk))
             .collect();
-        for place in &places {
-            self.remove(place);
+        for queued in &queued_chunks {
+            self.remove(queued);
         }
-        places
+        queued_chunks
     }
 }
 
@@ -170,8 +172,8 @@
     /// A job's changes are written as soon as can be from now on.
     pub(super) fn stop_deferring(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get(id) {
-            let places = self.deferred.take_job(id, job.spec.priority);
-            self.dirty.extend(places);
+            let queued_chunks = self.deferred.take_job(id, job.spec.priority);
+            self.dirty.extend(queued_chunks);
         }
     }
 
@@ -179,30 +181,32 @@
     /// users and workers wait for.
     ///
     /// Only one batch may be in flight: its outcome must be reported before the next is requested.
-    pub fn next_batch(&mut self, ops: usize, bytes: usize, short: bool) -> Vec<Write> {
+    pub fn next_batch(&mut self, ops: usize, bytes: usize, write_limited: bool) -> Vec<Write> {
         let mut batch = Vec::new();
-        let mut left = ops;
+        let mut remaining_ops = ops;
         let mut size = 0;
-        let waited_enough = if short {
+        let latest_ready_change = if write_limited {
             self.latest.since(MAX_FINISH_DELAY)
         } else {
             self.latest
         };
-        let ready = self.deferred.take_until(waited_enough);
+        let ready = self.deferred.take_until(latest_ready_change);
         self.dirty.extend(ready);
-        while left >= MAX_OPS_PER_WRITE && size < bytes {
-            let Some(place) = self.dirty.pop_first() else {
+        while remaining_ops >= MAX_OPS_PER_WRITE && size < bytes {
+            let Some(queued) = self.dirty.pop_first() else {
                 break;
             };
             self.count_steps(1);
-            if short && let Some(changed_at) = self.deferrable_since(&place.job, place.chunk) {
-                self.deferred.insert(place, changed_at);
+            if write_limited
+                && let Some(changed_at) = self.deferrable_since(&queued.job, queued.chunk)
+            {
+                self.deferred.insert(queued, changed_at);
                 continue;
             }
-            let (id, number) = (place.job, place.chunk);
-            if let Some(whole) = self.whole_end(&id) {
-                left -= whole.ops();
-                batch.push(whole);
+            let (id, number) = (queued.job, queued.chunk);
+            if let Some(completion) = self.completion_in_one_write(&id) {
+                remaining_ops -= completion.ops();
+                batch.push(completion);
                 continue;
             }
             let Some(chunk) = self
@@ -218,22 +222,22 @@
             chunk.dirty = false;
             let record = chunk.record();
             size += 200 + record.live.len() * 40;
-            left -= 1;
+            remaining_ops -= 1;
             batch.push(Write::Chunk {
-                places: chunk.live.values().any(|p| !p.committed),
+                has_new_placements: chunk.live.values().any(|p| !p.committed),
                 job: id,
                 chunk: number,
                 record,
                 version: chunk.version,
             });
         }
-        self.add_ends(&mut batch, &mut left);
-        if short {
+        self.add_completions(&mut batch, &mut remaining_ops);
+        if write_limited {
             return batch;
         }
-        self.add_images(&mut batch, &mut left);
+        self.add_images(&mut batch, &mut remaining_ops);
         if batch.is_empty() {
-            self.add_forgets(&mut batch, left);
+            self.add_removals(&mut batch, remaining_ops);
         }
         batch
     }
@@ -254,7 +258,7 @@
 
     /// The end of a job of one chunk whose tasks are all finished, with nothing left of it: three changes in place of five,
     /// as users may submit jobs of one task by the thousand.
-    fn whole_end(&mut self, id: &JobId) -> Option<Write> {
+    fn completion_in_one_write(&mut self, id: &JobId) -> Option<Write> {
         let job = self.jobs.get_mut(id)?;
         let finished = job.done == job.spec.tasks && job.live == 0;
         if !finished || job.ending || job.spec.tasks > CHUNK_SIZE {
@@ -264,7 +268,7 @@
         chunk.dirty = false;
         job.ending = true;
         self.guarantees.mark_stale(&job.spec.team);
-        Some(Write::Whole {
+        Some(Write::DoneAndRemove {
             job: id.clone(),
             tasks: job.spec.tasks,
             version: chunk.version,
@@ -272,9 +276,9 @@
     }
 
     /// Images seen on machines, a few at a time as they matter least.
-    fn add_images(&mut self, batch: &mut Vec<Write>, left: &mut usize) {
-        let mut room = IMAGES_PER_BATCH.min(*left);
-        while room > 0 {
+    fn add_images(&mut self, batch: &mut Vec<Write>, remaining_ops: &mut usize) {
+        let mut remaining_images = IMAGES_PER_BATCH.min(*remaining_ops);
+        while remaining_images > 0 {
             let Some(machine) = self.new_images.pop_first() else {
                 return;
             };
@@ -286,8 +290,8 @@
                 }
                 None => None,
             };
-            room -= 1;
-            *left -= 1;
+            remaining_images -= 1;
+            *remaining_ops -= 1;
             batch.push(Write::Images { machine, images });
         }
     }
@@ -298,9 +302,9 @@
     }
 
     /// Ends of jobs whose every finish is written.
-    fn add_ends(&mut self, batch: &mut Vec<Write>, left: &mut usize) {
+    fn add_completions(&mut self, batch: &mut Vec<Write>, remaining_ops: &mut usize) {
         for id in &self.finished {
-            if *left == 0 {
+            if *remaining_ops == 0 {
                 return;
             }
             let Some(job) = self.jobs.get_mut(id) else {
@@ -314,7 +318,7 @@
             if !job.ending && written == job.spec.tasks {
                 job.ending = true;
                 self.guarantees.mark_stale(&job.spec.team);
-                *left -= 1;
+                *remaining_ops -= 1;
                 batch.push(Write::Done {
                     job: id.clone(),
                     tasks: job.spec.tasks,
@@ -324,8 +328,8 @@
     }
 
     /// Removal of what nobody needs any more, when there is nothing else to write.
-    fn add_forgets(&mut self, batch: &mut Vec<Write>, ops: usize) {
-        let mut left = ops;
+    fn add_removals(&mut self, batch: &mut Vec<Write>, ops: usize) {
+        let mut remaining_ops = ops;
         for id in &self.terminal {
             let Some(job) = self.jobs.get(id) else {
                 continue;
@@ -337,17 +341,17 @@
                 .map(|(n, c)| (*n, c.version))
                 .collect();
             // A large job's chunks go in several steps; its own record goes last.
-            let whole = chunks.len() < ops;
+            let is_last = chunks.len() < ops;
             chunks.truncate(ops.saturating_sub(1));
-            let write = Write::Forget {
+            let write = Write::Remove {
                 job: id.clone(),
                 chunks,
-                whole,
+                is_last,
             };
-            if write.ops() > left {
+            if write.ops() > remaining_ops {
                 return;
             }
-            left -= write.ops();
+            remaining_ops -= write.ops();
             batch.push(write);
         }
     }
@@ -362,12 +366,16 @@
                 Write::Done { job, .. } => {
                     self.finished.remove(job);
                 }
-                Write::Whole { job, .. } => {
+                Write::DoneAndRemove { job, .. } => {
                     self.finished.remove(job);
-                    self.forget_applied(job, &[], true);
+                    self.removal_applied(job, &[], true);
                 }
                 Write::Images { .. } => {}
-                Write::Forget { job, chunks, whole } => self.forget_applied(job, chunks, *whole),
+                Write::Remove {
+                    job,
+                    chunks,
+                    is_last,
+                } => self.removal_applied(job, chunks, *is_last),
             }
         }
     }
@@ -391,34 +399,34 @@
         }
     }
 
-    fn forget_applied(&mut self, id: &JobId, chunks: &[(u32, Revision)], whole: bool) {
+    fn removal_applied(&mut self, id: &JobId, chunks: &[(u32, Revision)], is_last: bool) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         for (number, _) in chunks {
             job.chunks.remove(number);
         }
-        if whole && let Some(job) = self.jobs.remove(id) {
+        if is_last && let Some(job) = self.jobs.remove(id) {
             self.guarantees.remove(&job);
             self.job_index.forget(id);
             self.terminal.remove(id);
-            self.drop_changes(&job);
+            self.discard_writes(&job);
         }
     }
 
     /// Nothing of a job that is gone is written any more.
-    fn drop_changes(&mut self, job: &Job) {
+    fn discard_writes(&mut self, job: &Job) {
         let (id, priority) = (&job.spec.id, job.spec.priority);
         self.deferred.take_job(id, priority);
-        let all = ChunkPlace::new(priority, id, 0)..=ChunkPlace::new(priority, id, u32::MAX);
-        let places: Vec<ChunkPlace> = self.dirty.range(all).cloned().collect();
-        for place in places {
-            self.dirty.remove(&place);
+        let all = QueuedChunk::new(priority, id, 0)..=QueuedChunk::new(priority, id, u32::MAX);
+        let queued_chunks: Vec<QueuedChunk> = self.dirty.range(all).cloned().collect();
+        for queued in queued_chunks {
+            self.dirty.remove(&queued);
         }
     }
 
     /// The end of a job was not written after all.
-    fn resume_job(&mut self, id: &JobId) {
+    fn revert_end(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.ending = job.end.is_some();
             self.guarantees.mark_stale(&job.spec.team);
@@ -427,24 +435,24 @@
     }
 
     /// A batch was certainly not applied.
-    pub fn batch_dropped(&mut self, batch: &[Write]) {
+    pub fn batch_not_applied(&mut self, batch: &[Write]) {
         for write in batch {
             match write {
                 Write::Chunk { job, chunk, .. } => {
                     self.mark_dirty(job, *chunk);
                 }
-                Write::Whole { job, .. } => {
-                    self.resume_job(job);
+                Write::DoneAndRemove { job, .. } => {
+                    self.revert_end(job);
                     self.mark_dirty(job, 0);
                 }
-                Write::Done { job, .. } => self.resume_job(job),
+                Write::Done { job, .. } => self.revert_end(job),
                 Write::Images { machine, .. } => {
                     if let Some(m) = self.machines.get_mut(machine) {
                         m.written_images.clear();
                     }
                     self.new_images.insert(machine.clone());
                 }
-                Write::Forget { .. } => {}
+                Write::Remove { .. } => {}
             }
         }
     }
