--- a/src/api/wire.rs
+++ b/src/api/wire.rs
@@ -41,8 +41,8 @@
             AgentCommand::Stop {
                 task,
                 attempt,
-                slack_s,
-            } => (Verb::Stop, task, *attempt, Some(*slack_s)),
+                save_grace_s,
+            } => (Verb::Stop, task, *attempt, Some(*save_grace_s)),
             AgentCommand::Clear { task, attempt } => (Verb::Clear, task, *attempt, None),
         };
         CommandMessage {
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -133,7 +133,10 @@
             .scheduler
             .borrow_mut()
             .on_heartbeat(heartbeat, via, now);
-        let unwritten = term.scheduler.borrow().awaits_write(&heartbeat.machine);
+        let unwritten = term
+            .scheduler
+            .borrow()
+            .has_unwritten_placements(&heartbeat.machine);
         if outcome.is_newest && (outcome.changed || unwritten) {
             // What the heartbeat brought is written, and what it made room for is placed, before the worker is answered.
             term.await_next_cycle().await;
@@ -182,7 +185,7 @@
         let stop = cancelled.map(|t| AgentCommand::Stop {
             task: t.task.clone(),
             attempt: t.attempt,
-            slack_s: 0.0,
+            save_grace_s: 0.0,
         });
         stop.collect()
     }
--- a/src/scheduler/commands.rs
+++ b/src/scheduler/commands.rs
@@ -1,4 +1,4 @@
-//! The commands that go into the answer to a heartbeat.
+//! Commands in the responses to heartbeats.
 
 use super::Scheduler;
 use super::job::StopReason;
@@ -8,14 +8,14 @@
 use crate::units::Micros;
 use ravenhead_recovery::HeartbeatPosition;
 
-/// Maximum of commands in one answer, so that its line stays below the protocol's limit.
+/// Maximum number of commands in one response. Keeps the response below the protocol's limit for the length of a line.
 const MAX_COMMANDS: usize = 400;
 
-/// The commands of an answer in the making, and what the next heartbeat should show of them.
+/// The commands of a response under construction, and the effects that the next heartbeat should show.
 #[derive(Default)]
 struct HeartbeatResponse {
     commands: Vec<AgentCommand>,
-    /// Go after the others, and are left out of no answer.
+    /// Sent after the other commands. If there are too many, only the others are truncated.
     starts: Vec<AgentCommand>,
     expected_effects: Vec<(TaskId, u64, ExpectedEffect)>,
 }
@@ -33,12 +33,12 @@
         });
     }
 
-    fn stop(&mut self, task: &TaskId, attempt: u64, slack_s: f64) {
+    fn stop(&mut self, task: &TaskId, attempt: u64, save_grace_s: f64) {
         self.expect(task, attempt, ExpectedEffect::Stop);
         self.commands.push(AgentCommand::Stop {
             task: task.to_string(),
             attempt,
-            slack_s,
+            save_grace_s,
         });
     }
 
@@ -62,7 +62,7 @@
 }
 
 impl Scheduler {
-    /// The commands that go into the answer to a heartbeat; none if it is not the newest of its machine any more.
+    /// Returns the commands for the response to a heartbeat, or none if it is no longer the newest one of its machine.
     pub fn commands_for(
         &mut self,
         machine: &MachineId,
@@ -86,7 +86,7 @@
         self.stop_unexpected(m, &mut response);
         let mut unsent = Vec::new();
         for task in placed {
-            if self.command_placed(&task, position, accepts_starts, &mut response) {
+            if self.add_placement_command(&task, position, accepts_starts, &mut response) {
                 unsent.push(task);
             }
         }
@@ -99,10 +99,10 @@
         response.into_commands()
     }
 
-    /// Clears the exited tasks of a machine whose worker may forget them.
+    /// Clears exited tasks that the worker may remove from its heartbeats.
     fn clear_exited(&self, m: &Machine, response: &mut HeartbeatResponse) {
         for (task, attempt) in &m.exited {
-            // A finish must be written before its worker forgets it.
+            // A completion must be written before the worker removes it from its heartbeats.
             let written = self.jobs.get(&task.job).is_none_or(|j| {
                 j.end.is_some() || !j.is_finished(task.index) || j.is_finish_committed(task.index)
             });
@@ -112,9 +112,9 @@
         }
     }
 
-    /// Stops what runs on a machine without a placement.
+    /// Stops tasks that run on a machine without a placement there.
     fn stop_unexpected(&self, m: &Machine, response: &mut HeartbeatResponse) {
-        // After a loss it may be that only the record of its job is missing yet.
+        // After a loss of stored state, the job may be valid although its record is not restored yet.
         let may_be_known = self.is_rebuilding();
         for (task, attempt) in m.unexpected_tasks.keys() {
             if may_be_known && !self.jobs.contains_key(&task.job) {
@@ -124,8 +124,9 @@
         }
     }
 
-    /// Starts or stops a placed task where that is due. Returns true if it was never sent and is to be released.
-    fn command_placed(
+    /// Adds the start or stop command of a placed task if one is due. Returns true if its start was never sent and the
+    /// placement must be released.
+    fn add_placement_command(
         &mut self,
         task: &TaskId,
         position: HeartbeatPosition,
@@ -146,10 +147,10 @@
             return true;
         }
         if is_stopped {
-            // What a cancelled task would save is of no use to anybody.
+            // A cancelled task is stopped even while it saves its work, which is no longer needed.
             if cancelled || p.reported_state != Some(TaskState::Saving) {
-                let slack_s = if cancelled { 0.0 } else { save_grace_s.ceil() };
-                response.stop(task, p.attempt, slack_s);
+                let save_grace_s = if cancelled { 0.0 } else { save_grace_s.ceil() };
+                response.stop(task, p.attempt, save_grace_s);
             }
         } else if never_sent && p.committed && !response.is_full() {
             p.sent = Some(position);
@@ -158,8 +159,8 @@
         false
     }
 
-    /// Whether the machine has placements whose starts wait only for being written.
-    pub fn awaits_write(&self, machine: &MachineId) -> bool {
+    /// Returns whether the machine has placements that must be written before their starts can be sent.
+    pub fn has_unwritten_placements(&self, machine: &MachineId) -> bool {
         self.machines.get(machine).is_some_and(|m| {
             m.reserved.keys().any(|task| {
                 self.jobs
@@ -170,8 +171,9 @@
         })
     }
 
-    /// Drains a machine that the cloud will preempt: what can save does so now, what has not begun goes elsewhere.
-    pub(super) fn drain_for_notice(&mut self, machine: &MachineId) {
+    /// Drains a machine that the cloud will preempt. Tasks that can save their work are stopped to do so, and tasks
+    /// that are not running yet are placed elsewhere.
+    pub(super) fn drain_before_preemption(&mut self, machine: &MachineId) {
         let Some(m) = self.machines.get(machine) else {
             return;
         };
--- a/src/scheduler/events.rs
+++ b/src/scheduler/events.rs
@@ -1,4 +1,4 @@
-//! What the scheduler wants logged: events with their fields, rendered in this one place.
+//! Log events of the scheduler and their rendering as log lines.
 
 use super::failure_detection::LossCause;
 use super::messages::ExitCause;
@@ -8,248 +8,248 @@
 use ravenhead_recovery::Counts;
 use std::fmt;
 
-/// How much an event matters to operators.
+/// Log level of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EventLevel {
-    /// For the engineer on call: machines, failures, recovery.
+    /// Events that operators act on: machines, failures, recovery.
     Info,
-    /// The course of single tasks.
+    /// Events of single tasks.
     Debug,
 }
 
-/// Something that happened in the scheduler.
+/// An event to be logged by the leader.
 ///
-/// `Display` renders the line of the log, whose names and fields operators' filters know.
+/// `Display` renders the log line. Operators' filters match its event names and fields.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SchedulerEvent {
-    /// A heartbeat came from a machine that this leader did not know.
+    /// A heartbeat came from a machine unknown to this leader.
     MachineUnexpected {
-        /// The machine.
+        /// Machine that sent the heartbeat.
         machine: MachineId,
     },
-    /// A machine came up, or was heard for the first time in this term.
+    /// A new machine is ready, or a machine's first heartbeat in this term came.
     MachineReady {
-        /// The machine.
+        /// Machine that is ready.
         machine: MachineId,
-        /// Its type.
+        /// Type of the machine.
         machine_type: String,
-        /// Its zone.
+        /// Zone of the machine.
         zone: String,
-        /// Whether spot.
+        /// Whether it is a spot machine.
         spot: bool,
-        /// Since it was provisioned, or first known of.
+        /// Time since it was provisioned, or since this leader first knew of it.
         after: Micros,
     },
     /// Machines failed and are terminated.
     MachinesLost {
-        /// The machines.
+        /// Machines that are terminated.
         machines: Vec<MachineId>,
-        /// Why.
+        /// Reason for which they count as failed.
         cause: LossCause,
-        /// Their zone.
+        /// Zone of the machines.
         zone: String,
         /// Whether they are spot machines.
         spot: bool,
-        /// The longest time without contact to one of them.
+        /// Longest time since the last contact among the machines.
         since_contact: Micros,
         /// Tasks that were placed on them.
         tasks: Vec<TaskId>,
     },
-    /// A machine that did not hear of a cancellation in time is terminated with the task.
+    /// A machine did not acknowledge a cancellation in time and is terminated to end the task.
     MachineTerminating {
-        /// The machine.
+        /// Machine that is terminated.
         machine: MachineId,
-        /// The cancelled job.
+        /// Cancelled job whose task is still on the machine.
         job: JobId,
     },
-    /// A machine was empty for long enough and is terminated.
+    /// A machine was idle for the configured time and is terminated.
     MachineIdle {
-        /// The machine.
+        /// Machine that is terminated.
         machine: MachineId,
-        /// Its zone.
+        /// Zone of the machine.
         zone: String,
     },
-    /// A machine's tasks are moved elsewhere, so that it can be terminated.
+    /// The tasks of a machine are moved to others, so that it can be terminated.
     MachineConsolidating {
-        /// The machine.
+        /// Machine that is emptied.
         machine: MachineId,
     },
-    /// A machine failed tasks of several jobs and takes no more.
+    /// A machine failed tasks of several jobs and gets no more tasks.
     MachineQuarantined {
-        /// The machine.
+        /// Machine that is quarantined.
         machine: MachineId,
     },
-    /// What a machine failed was a job's fault.
+    /// A machine's quarantine ended, as the failures were attributed to a job.
     MachineQuarantineLifted {
-        /// The machine.
+        /// Machine whose quarantine ended.
         machine: MachineId,
     },
-    /// The cloud will preempt a spot machine.
+    /// The cloud announced the preemption of a spot machine.
     PreemptionNotice {
-        /// The machine.
+        /// Machine that will be preempted.
         machine: MachineId,
     },
-    /// Several of a zone's new machines are late.
+    /// Several new machines of a zone exceed the expected provisioning time.
     ProvisioningSlow {
-        /// The zone.
+        /// Zone of the machines.
         zone: String,
-        /// New machines that are late or were lately.
+        /// Number of new machines that are late or were late recently.
         late: u64,
-        /// New machines that lately came up in time.
+        /// Number of new machines that recently came up in time.
         on_time: u64,
     },
-    /// A zone's new machines come up in time again.
+    /// New machines of a zone come up in time again.
     ProvisioningNormal {
-        /// The zone.
+        /// Zone of the machines.
         zone: String,
-        /// New machines that are late or were lately.
+        /// Number of new machines that are late or were late recently.
         late: u64,
-        /// New machines that lately came up in time.
+        /// Number of new machines that recently came up in time.
         on_time: u64,
     },
-    /// A job failed on several machines and is retried with growing pauses.
+    /// A job failed on several machines and is retried with increasing backoff.
     JobCrashLooping {
-        /// The job.
+        /// Job that fails.
         job: JobId,
-        /// Until it is tried again.
+        /// Time until its next retry.
         pause: Micros,
     },
     /// A task is stopped for a job of higher priority.
     TaskPreempted {
-        /// The task.
+        /// Task that is stopped.
         task: TaskId,
-        /// The machine.
+        /// Machine that the task is on.
         machine: MachineId,
-        /// The job that gets its resources.
+        /// Job that gets the resources of the task.
         preempting_job: JobId,
     },
-    /// A worker refused to start a task.
+    /// A worker rejected the start of a task.
     TaskStartRefused {
-        /// The task.
+        /// Task that was not started.
         task: TaskId,
-        /// The machine.
+        /// Machine of the worker.
         machine: MachineId,
-        /// Why, if the worker said so.
+        /// Reason given by the worker, if any.
         cause: Option<ExitCause>,
     },
-    /// A task that no record shows was found running and is kept.
+    /// A task without a recorded placement was found running and is kept.
     TaskAdopted {
-        /// The task.
+        /// Task that is kept.
         task: TaskId,
-        /// The machine.
+        /// Machine that the task is on.
         machine: MachineId,
     },
-    /// A heartbeat reports a task whose id is none.
+    /// A heartbeat contains a malformed task id.
     InvalidTask {
-        /// The machine.
+        /// Machine that sent the heartbeat.
         machine: MachineId,
-        /// The id as reported.
+        /// The task id as reported.
         task: String,
     },
-    /// A new leader begins to confirm the placements that it found recorded.
+    /// A new leader starts to confirm the recorded placements.
     RecoveryStarted {
-        /// The leader's fencing token.
+        /// Fencing token of the leader.
         token: FencingToken,
-        /// Placements found recorded.
+        /// Number of recorded placements.
         recorded: u64,
     },
-    /// So many of them are not confirmed yet.
+    /// Some recorded placements are still unconfirmed.
     RecoveryProgress {
-        /// The leader's fencing token.
+        /// Fencing token of the leader.
         token: FencingToken,
-        /// Placements not confirmed yet.
+        /// Number of unconfirmed placements.
         unconfirmed: u64,
-        /// What was found so far.
+        /// Number of placements and reported tasks so far, by how they were resolved.
         counts: Counts,
     },
-    /// All of them are confirmed or known to be gone.
+    /// All recorded placements are confirmed or known to be gone.
     RecoveryCompleted {
-        /// The leader's fencing token.
+        /// Fencing token of the leader.
         token: FencingToken,
-        /// Placements found recorded.
+        /// Number of recorded placements.
         recorded: u64,
-        /// Time taken.
+        /// Duration of the recovery.
         after: Micros,
-        /// What was found.
+        /// Number of placements and reported tasks, by how they were resolved.
         counts: Counts,
     },
-    /// After a loss of stored state: machines are still waited for.
+    /// After a loss of stored state, some machines have not reported yet.
     RebuildWaiting {
-        /// The leader's fencing token.
+        /// Fencing token of the leader.
         token: FencingToken,
-        /// Whether a machine list is recent enough to have every machine.
+        /// Whether a machine list has been read that is recent enough to include every machine.
         listed: bool,
-        /// Machines that did not report yet.
+        /// Number of machines that have not reported yet.
         unreported: usize,
     },
-    /// After a loss of stored state: every machine has reported.
+    /// After a loss of stored state, every machine has reported.
     RebuildConfirmed {
-        /// The leader's fencing token.
+        /// Fencing token of the leader.
         token: FencingToken,
-        /// How many machines there are.
+        /// Number of machines.
         machines: usize,
-        /// Time taken.
+        /// Duration of the rebuild.
         after: Micros,
     },
-    /// A heartbeat shows no effect of the answers before it.
+    /// A heartbeat shows no effect of the responses to earlier ones.
     HeartbeatUnacknowledged {
-        /// The machine.
+        /// Machine that sent the heartbeat.
         machine: MachineId,
-        /// Heartbeats in a row.
+        /// Number of consecutive heartbeats without an effect.
         count: u32,
     },
-    /// Too many offers for one cycle: each job is offered to a sample of machines.
+    /// A scheduling cycle has too many possible offers, so each job is offered only to a sample of the machines.
     OffersSampled {
-        /// Jobs to be offered.
+        /// Number of jobs to be offered.
         jobs: usize,
-        /// Machines that could be asked.
+        /// Number of machines that could get offers.
         machines: usize,
-        /// Machines asked for each.
+        /// Number of machines that each job is offered to.
         sample: usize,
     },
-    /// A machine took a task.
+    /// A machine accepted a task.
     TaskPlaced {
-        /// The task.
+        /// Task that was placed.
         task: TaskId,
-        /// The machine.
+        /// Machine that it was placed on.
         machine: MachineId,
-        /// Its attempt.
+        /// Attempt number.
         attempt: u64,
     },
     /// A task was first reported running.
     TaskRunning {
-        /// The task.
+        /// Task that is running.
         task: TaskId,
-        /// The machine.
+        /// Machine that it runs on.
         machine: MachineId,
     },
     /// A task completed.
     TaskFinished {
-        /// The task.
+        /// Task that completed.
         task: TaskId,
-        /// The machine.
+        /// Machine that it ran on.
         machine: MachineId,
     },
     /// A task ended without completing.
     TaskExited {
-        /// The task.
+        /// Task that ended.
         task: TaskId,
-        /// The machine.
+        /// Machine that it was on.
         machine: MachineId,
-        /// Why, if the worker said so.
+        /// Reason given by the worker, if any.
         cause: Option<ExitCause>,
     },
-    /// A task is stopped, to start again on a machine that has free resources.
+    /// A task is stopped to be restarted on another machine with free resources.
     TaskMoving {
-        /// The task.
+        /// Task that is moved.
         task: TaskId,
-        /// The machine that it leaves.
+        /// Machine that the task leaves.
         from: MachineId,
     },
 }
 
 impl SchedulerEvent {
-    /// The level at which it is logged.
+    /// Returns the level at which the event is logged.
     pub fn level(&self) -> EventLevel {
         use SchedulerEvent as E;
         match self {
@@ -266,7 +266,7 @@
 }
 
 impl fmt::Display for SchedulerEvent {
-    /// One flat and exhaustive table, so that an event's name can be searched for and none is rendered empty.
+    /// A single exhaustive match, so that event names can be searched for and every event is rendered.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         use SchedulerEvent as E;
         match self {
@@ -435,7 +435,7 @@
     }
 }
 
-/// Values with commas between them.
+/// Displays values separated by commas.
 struct Joined<'a, T>(&'a [T]);
 
 impl<T: fmt::Display> fmt::Display for Joined<'_, T> {
--- a/src/scheduler/events/tests.rs
+++ b/src/scheduler/events/tests.rs
@@ -12,8 +12,7 @@
 }
 
 #[test]
-fn lost_machines_are_all_named_in_one_line_with_their_tasks_and_the_cause_in_the_words_of_the_log()
-{
+fn machine_lost_lists_all_machines_with_their_tasks_and_cause() {
     let line = |cause: LossCause| {
         let event = SchedulerEvent::MachinesLost {
             machines: vec![machine("m-1"), machine("m-2")],
@@ -42,7 +41,7 @@
 }
 
 #[test]
-fn rare_events_keep_the_lines_that_filters_know() {
+fn rare_events_keep_their_log_lines() {
     use SchedulerEvent as E;
     let refused = E::TaskStartRefused {
         task: task(1),
@@ -81,7 +80,7 @@
 }
 
 #[test]
-fn what_happens_to_single_tasks_is_logged_in_detail_only() {
+fn events_of_single_tasks_are_logged_at_debug_level() {
     let event = SchedulerEvent::TaskExited {
         task: task(2),
         machine: machine("m-1"),
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Handling of heartbeats: the machine is there, it acknowledges our answers, and its tasks are in these states.
+//! Handling of heartbeats: contact with the machine, acknowledgement of earlier responses, and the states of its tasks.
 
 use super::Scheduler;
 use super::events::SchedulerEvent;
@@ -7,17 +7,18 @@
 use crate::ids::MachineId;
 use crate::units::Micros;
 
-/// What a heartbeat brought.
+/// What followed from a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct HeartbeatOutcome {
-    /// Whether it is the newest of its machine; an older one changes nothing and gets no commands.
+    /// Whether it is the newest heartbeat of its machine. An older one changes nothing and its response contains no
+    /// commands.
     pub is_newest: bool,
-    /// Whether something is to be written or offered on account of it.
+    /// Whether the heartbeat led to something to be written or offered.
     pub changed: bool,
 }
 
 impl Scheduler {
-    /// Takes in a heartbeat that the controller `via` passed on, or that came to this one.
+    /// Handles a heartbeat that came through the controller `via`, which is this one or one that forwarded it.
     pub fn on_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -25,7 +26,7 @@
         now: Micros,
     ) -> HeartbeatOutcome {
         self.latest = now;
-        // Late heartbeats of terminated machines must not bring them back.
+        // Delayed heartbeats of terminated machines must not add them again.
         if self.terminated.contains(&heartbeat.machine) {
             return HeartbeatOutcome::default();
         }
@@ -56,7 +57,7 @@
             self.events.push(SchedulerEvent::PreemptionNotice {
                 machine: heartbeat.machine.clone(),
             });
-            self.drain_for_notice(&heartbeat.machine);
+            self.drain_before_preemption(&heartbeat.machine);
         }
         self.update_idle(&heartbeat.machine, now);
         HeartbeatOutcome {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Records when and how a machine's newest heartbeat came.
+    /// Records when the newest heartbeat of a machine came, and through which controller.
     fn record_contact(&mut self, heartbeat: &Heartbeat, via: &str, now: Micros) {
         let Some(m) = self.machines.get_mut(&heartbeat.machine) else {
             return;
@@ -77,20 +78,20 @@
         if m.via != via {
             m.via = via.to_owned();
         }
-        // Guards against copies of old heartbeats, and against those of a machine that hears nobody: only what shows
-        // that our answers arrive is a sign of life for long.
+        // Delayed duplicates of heartbeats, and heartbeats of a machine that receives no responses, must not keep it
+        // alive: heartbeats count as contact for long only if they show that responses arrive.
         if !m.is_inbound_unreachable() {
             m.last_contact = now;
         }
     }
 
-    /// Makes a machine ready whose heartbeat proves that it came up.
+    /// Marks a machine as ready once a heartbeat proves that it is up.
     fn mark_ready(&mut self, heartbeat: &Heartbeat, now: Micros) {
         let Some(m) = self.machines.get_mut(&heartbeat.machine) else {
             return;
         };
-        // Guards against a late copy bringing back a machine that an earlier leader terminated: until a heartbeat shows
-        // this leader's token, only a machine provisioned by this leader is taken to be there.
+        // Prevents a delayed duplicate from adding a machine that an earlier leader terminated: until a heartbeat shows
+        // this leader's token, only a machine that this leader provisioned counts as existing.
         let is_proven = heartbeat.token == self.token || m.is_provisioned_by_this_term;
         if m.state != MachineState::Provisioning || !is_proven {
             return;
@@ -111,7 +112,7 @@
         });
     }
 
-    /// Records a preemption notice. Returns whether it is the first of its machine.
+    /// Records a preemption notice. Returns whether it is the first one of its machine.
     fn record_preemption_notice(&mut self, heartbeat: &Heartbeat, now: Micros) -> bool {
         let Some(m) = self.machines.get_mut(&heartbeat.machine) else {
             return false;
@@ -131,11 +132,11 @@
         }
     }
 
-    /// Counts the heartbeats in a row that show no sign of the answers before them: a token that stays behind, commands
-    /// without any effect, an agent epoch that ended although we answered.
+    /// Counts consecutive heartbeats that show no effect of the responses to earlier ones: the token stays behind,
+    /// commands have no effect, or the agent epoch ended although responses were sent.
     ///
-    /// Guards against a machine whose heartbeats arrive while answers do not reach it: it never times out, and in id
-    /// order the same task would be sent there again and again.
+    /// Without this count, a machine whose heartbeats arrive but which receives no responses would never time out, and
+    /// stable id order would send the same task there again and again.
     fn count_unacknowledged(
         &mut self,
         heartbeat: &Heartbeat,
@@ -155,7 +156,8 @@
         let epoch_ended = heartbeat.agent_epoch > newest.agent_epoch
             && now.since(m.last_contact) < lease.scaled(1, 2);
         let acknowledged = m.acknowledges(index);
-        // A worker that misses an answer turns to the next controller: one that stays was answered, if not by us.
+        // A worker that gets no response switches to the next controller. One that stays with a controller got a
+        // response, though possibly not from this leader.
         let same_controller = self.config.controllers > 1 && m.via == via;
         if token_behind || !same_controller && (epoch_ended || acknowledged == Some(false)) {
             m.unacknowledged_heartbeats += 1;
@@ -170,12 +172,13 @@
             || acknowledged == Some(true)
             || now.since(m.unacknowledged_at) > window
         {
-            // Its lease would have run out by now if none of our answers had arrived.
+            // If no response had arrived, the worker's lease would have expired by now.
             m.unacknowledged_heartbeats = 0;
         }
     }
 
-    /// Another controller is in contact with these machines, though their heartbeats can't get here: they are alive.
+    /// Records that the controller `node` is in contact with these machines although their heartbeats cannot reach this
+    /// leader. The machines count as alive.
     pub fn on_contact(&mut self, node: &str, machines: &[MachineId], now: Micros) {
         self.failure_detector.observe_contacts(node, now);
         for id in machines {
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -1,4 +1,4 @@
-//! A job in the leader's memory: its chunks, its tasks' placements and its place in the queue.
+//! Jobs in the leader's memory: chunks, placements of tasks and queue position.
 
 use super::job_spec::JobSpec;
 use super::messages::TaskState;
@@ -10,46 +10,47 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// The deadline, after its submission, by which a job without one is queued.
+/// Deadline after submission that is assumed for queueing jobs without one.
 ///
-/// Guards against spare-time work that comes in thousands of long tasks: by its age it would go before all that has a
-/// deadline, which could not be met any more.
+/// Prevents best-effort work that arrives as thousands of long tasks from starving jobs with deadlines: ordered by age
+/// alone, it would run before all of them and their deadlines would be missed.
 const DEFAULT_DEADLINE: Micros = Micros::secs(600);
-/// Longest backoff of a job that keeps failing.
+/// Maximum backoff of a job that fails repeatedly.
 const MAX_BACKOFF: Micros = Micros::secs(30);
 
-/// Why a task is being stopped.
+/// Reason for which a task is being stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopReason {
-    /// A job that goes before it takes its resources.
+    /// A job that takes precedence needs its resources.
     Preempted,
-    /// Its machine is to be emptied.
+    /// Its machine is being drained.
     Drained,
 }
 
-/// A task that may be on a machine.
+/// Placement of a task that may be on a machine.
 #[derive(Debug, Clone)]
 pub struct Placement {
-    /// Where.
+    /// Machine that the task is placed on.
     pub machine: MachineId,
-    /// The attempt.
+    /// Attempt number.
     pub attempt: u64,
-    /// Whether the placement is written down; only then may its start be sent.
+    /// Whether the placement has been written to the key-value store. The start command is sent only after that.
     pub committed: bool,
-    /// Whether an earlier leader made it, so that a start of that leader's may still be on its way.
+    /// Whether an earlier leader made the placement, so that a start command of that leader may still be in flight.
     pub inherited: bool,
-    /// The heartbeat whose answer carried the start.
+    /// Position of the heartbeat whose response carried the start command or, if later, of the last one that reported
+    /// the task with this leader's token. `None` if this leader has not sent a start or the start was lost.
     pub sent: Option<HeartbeatPosition>,
-    /// Its state in the machine's newest heartbeat.
+    /// State of the task in its machine's newest heartbeat; `None` until it is reported.
     pub reported_state: Option<TaskState>,
-    /// When it was first reported running.
+    /// Time at which it was first reported running.
     pub running_since: Option<Micros>,
-    /// Whether, and why, it is being stopped.
+    /// Reason for which it is being stopped; `None` if it is not.
     pub stopping: Option<StopReason>,
 }
 
 impl Placement {
-    /// The placement as reconciliation sees it.
+    /// Returns the placement in the form that reconciliation compares with heartbeats.
     pub fn as_recorded(&self, is_wanted: bool) -> RecordedTask {
         let ordered_at = self.sent;
         RecordedTask {
@@ -65,27 +66,27 @@
     }
 }
 
-/// A chunk of a job's tasks.
+/// State of one chunk of a job's tasks.
 #[derive(Debug, Clone, Default)]
 pub struct Chunk {
-    /// Finished tasks, bit by bit.
+    /// Bitmap of finished tasks.
     pub finished: u64,
-    /// Those of them that are written down.
+    /// Bitmap of finished tasks whose completion has been written.
     pub finished_committed: u64,
-    /// Highest attempt given.
+    /// Highest attempt assigned to any task of the chunk.
     pub last_attempt: u64,
-    /// Tasks that may be on a machine.
+    /// Placements of tasks that may be on a machine, by index within the chunk.
     pub live: BTreeMap<u8, Placement>,
-    /// The key's version, 0 where it is not yet written.
+    /// Version of the stored record, 0 if it has not been written yet.
     pub version: Revision,
-    /// Whether there is something to write.
+    /// Whether the chunk has unwritten changes.
     pub dirty: bool,
-    /// Since when there is.
+    /// Time of the first unwritten change.
     pub changed_at: Micros,
 }
 
 impl Chunk {
-    /// The record as it would be written now.
+    /// Returns the record for the current state.
     pub fn record(&self) -> ChunkRecord {
         ChunkRecord {
             finished: self.finished,
@@ -98,13 +99,14 @@
         }
     }
 
-    /// Its tasks that are neither finished nor possibly on a machine, bit by bit; also those beyond the job's last.
+    /// Returns a bitmap of the tasks that are neither finished nor possibly on a machine. It includes indices past the
+    /// job's last task.
     fn waiting_bits(&self) -> u64 {
         let live = self.live.keys().fold(0u64, |bits, i| bits | 1 << i);
         !(self.finished | live)
     }
 
-    /// A chunk as an earlier leader left it.
+    /// Restores a chunk from the record of an earlier leader.
     pub fn inherit(record: &ChunkRecord, version: Revision) -> Chunk {
         let live = record.live.iter().map(|(i, machine, attempt)| {
             let placement = Placement {
@@ -131,45 +133,45 @@
     }
 }
 
-/// A job that is not ended, or whose tasks may still be on machines.
+/// A job that has not ended, or whose tasks may still be on machines.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// What was asked for.
+    /// Specification as submitted.
     pub spec: Rc<JobSpec>,
-    /// When it was submitted, by the time of day.
+    /// Time of submission, as Unix time in microseconds.
     pub submitted_at: u64,
-    /// Whether it has ended.
+    /// How the job ended; `None` while it has not.
     pub end: Option<JobEnd>,
-    /// Whether a try to write its end is under way or done.
+    /// Whether the end of the job is recorded, or a write of it is in progress.
     pub ending: bool,
-    /// Its chunks, as far as anything happened in them.
+    /// Chunks by number. A chunk is present only once one of its tasks has been placed or reported.
     pub chunks: BTreeMap<u32, Chunk>,
-    /// Finished tasks.
+    /// Number of finished tasks.
     pub done: u32,
-    /// Tasks that may be on a machine.
+    /// Number of tasks that may be on a machine.
     pub live: u32,
-    /// Those of them by zone.
+    /// Number of tasks that may be on a machine, by zone.
     pub live_by_zone: BTreeMap<String, u32>,
-    /// When its waiting tasks are offered next.
+    /// Time at which its waiting tasks are offered next.
     pub next_offer_at: Micros,
-    /// Machines where it failed: they are not offered again.
+    /// Machines where its tasks failed. The job is not offered to machines in this set.
     pub failed_on: BTreeSet<MachineId>,
-    /// Failures in a row, for backing off.
+    /// Number of consecutive failures, which determines the backoff.
     pub consecutive_failures: u32,
-    /// Whether it failed on so many machines, with no success between, that it is itself crash-looping.
+    /// Whether the job itself counts as faulty, as its tasks failed on several machines with no success in between.
     pub crash_looping: bool,
-    /// Whether a spot machine was preempted with work of it that could not be saved.
+    /// Whether a spot machine was terminated while it ran tasks of the job that cannot save their work.
     pub lost_work_on_spot: bool,
-    /// Pending reservations: machines where tasks are stopped for this job, and until when each is valid.
+    /// Pending reservations: machines where tasks are being stopped for this job, each with its expiry time.
     pub reservations: Vec<(MachineId, Micros)>,
-    /// Until when a task of it that waits is one that was stopped only to be moved.
+    /// Time until which a waiting task of the job is assumed to be one that was stopped only to be moved.
     pub moving_until: Micros,
-    /// Since when it is offered without a task being placed.
+    /// Time since which the job has been offered without any of its tasks being placed; `None` after a placement.
     pub unplaced_since: Option<Micros>,
 }
 
 impl Job {
-    /// A job of which nothing was placed yet.
+    /// Creates a job without placements.
     pub fn new(spec: Rc<JobSpec>, submitted_at: u64, end: Option<JobEnd>, now: Micros) -> Job {
         Job {
             spec,
@@ -191,7 +193,8 @@
         }
     }
 
-    /// When it should be complete, by the time of day; without a deadline so long after it came.
+    /// Returns the Unix time in microseconds by which the job should be complete, with the default deadline if it has
+    /// none.
     pub fn due_at(&self) -> u64 {
         let due = self
             .spec
@@ -200,25 +203,27 @@
         self.submitted_at.saturating_add(due.0)
     }
 
-    /// Its queue position among jobs of its priority, as the time of day by which it counts as due.
+    /// Returns the position among jobs of the same priority, as the Unix time in microseconds by which the job counts
+    /// as due.
     ///
-    /// Guards against an overload in which every job is served just too late: one that by its owner's estimate can't be
-    /// in time any more counts as due half as late again, and if not even then, at three times its time. It gives way
-    /// to what may still be in time, but only so far, so that none waits for ever.
+    /// Prevents an overload in which every job completes just after its deadline. A job that will miss its deadline by
+    /// its owner's estimate counts as due at 1.5 times its allowed time or, if it would miss that as well, at 3 times.
+    /// It yields to jobs that can still meet their deadlines, but only by a bounded time, so that no job starves.
     pub fn queue_position(&self, unix_time: u64) -> u64 {
         let due = self.due_at();
         let allowed = due - self.submitted_at;
-        let done_at = unix_time.saturating_add(Micros::from_secs_f64(self.spec.expect_s).0);
-        if self.spec.due_s.is_none() || done_at <= due {
+        let expected_completion =
+            unix_time.saturating_add(Micros::from_secs_f64(self.spec.expected_run_s).0);
+        if self.spec.due_s.is_none() || expected_completion <= due {
             due
-        } else if done_at <= due.saturating_add(allowed / 2) {
+        } else if expected_completion <= due.saturating_add(allowed / 2) {
             due.saturating_add(allowed / 2)
         } else {
             due.saturating_add(allowed).saturating_add(allowed)
         }
     }
 
-    /// Tasks that are neither finished nor possibly on a machine.
+    /// Returns the number of tasks that are neither finished nor possibly on a machine.
     pub fn waiting(&self) -> u32 {
         if self.end.is_some() || self.ending {
             0
@@ -227,10 +232,11 @@
         }
     }
 
-    /// Tasks that wait and may be offered now: of a job crash-looping one, and then none for a while.
+    /// Returns the number of waiting tasks that may be offered. For a crash-looping job this is at most one, and the
+    /// job is offered again only after its backoff.
     ///
-    /// Guards against a large job submitted with a mistake: all of its tasks would be started, and provisioned for, again and
-    /// again, only to fail.
+    /// Without this limit, all tasks of a large faulty job would be started, and machines provisioned for them, again
+    /// and again, only to fail.
     pub fn schedulable_tasks(&self) -> u32 {
         if self.crash_looping {
             self.waiting().min(1)
@@ -239,23 +245,24 @@
         }
     }
 
-    /// Its backoff after the latest failure.
+    /// Returns the backoff after the latest failure.
     pub fn backoff(&self) -> Micros {
         Micros::secs(1 << self.consecutive_failures.min(5)).min(MAX_BACKOFF)
     }
 
-    /// Whether its tasks may go to such a machine. What lost its work on a spot machine once does not use one again:
-    /// a job without checkpoints could lose it over and over and never be in time.
+    /// Returns whether the job's tasks may run on a machine of this type and zone, spot or on-demand. A job that has
+    /// lost unsaved work on a spot machine does not use spot machines again: a job without checkpoints could lose its
+    /// work repeatedly and never meet its deadline.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         self.spec.allows(machine_type, zone, spot) && !(spot && self.lost_work_on_spot)
     }
 
-    /// The first waiting task at or after `from`.
+    /// Returns the index of the first waiting task at or after `from`.
     pub fn next_waiting(&self, from: u32) -> Option<u32> {
         let mut expected = from / CHUNK_SIZE;
         let mut first = from % CHUNK_SIZE;
         for (number, chunk) in self.chunks.range(expected..) {
-            // Nothing was ever placed of a chunk that is not there.
+            // No task of a missing chunk has ever been placed.
             if *number > expected {
                 break;
             }
@@ -271,8 +278,8 @@
         (index < self.spec.tasks).then_some(index)
     }
 
-    /// The attempt that the next placement of a task of this chunk gets. The tasks of a gang find each other by it, so it
-    /// is the same for all that are placed together.
+    /// Returns the attempt for the next placement of a task of this chunk. The members of a gang find each other by
+    /// their attempt, so it is the same for all members that are placed together.
     pub fn next_attempt(&self, chunk: u32, min_attempt: u64) -> u64 {
         if !self.spec.is_gang() {
             let last = self.chunks.get(&chunk).map_or(0, |c| c.last_attempt);
@@ -286,7 +293,7 @@
         }
     }
 
-    /// The placement of a task.
+    /// Returns the placement of a task, or `None` if it has none.
     pub fn placement(&self, index: u32) -> Option<&Placement> {
         self.chunks
             .get(&(index / CHUNK_SIZE))?
@@ -294,7 +301,7 @@
             .get(&((index % CHUNK_SIZE) as u8))
     }
 
-    /// The placement of a task, to change.
+    /// Returns a mutable reference to the placement of a task, or `None` if it has none.
     pub fn placement_mut(&mut self, index: u32) -> Option<&mut Placement> {
         self.chunks
             .get_mut(&(index / CHUNK_SIZE))?
@@ -302,14 +309,14 @@
             .get_mut(&((index % CHUNK_SIZE) as u8))
     }
 
-    /// Whether a task is finished.
+    /// Returns whether a task is finished.
     pub fn is_finished(&self, index: u32) -> bool {
         self.chunks
             .get(&(index / CHUNK_SIZE))
             .is_some_and(|c| c.finished >> (index % CHUNK_SIZE) & 1 == 1)
     }
 
-    /// Whether a finished task is written down as such.
+    /// Returns whether a task is finished and its completion has been written.
     pub fn is_finish_committed(&self, index: u32) -> bool {
         self.chunks
             .get(&(index / CHUNK_SIZE))
--- a/src/scheduler/job_spec.rs
+++ b/src/scheduler/job_spec.rs
@@ -1,24 +1,24 @@
-//! A job as its user submitted it, and the checks that a submission must pass.
+//! Job specifications as submitted by users, and the validation of submissions.
 
 use crate::ids::JobId;
 use crate::units::Resources;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Maximum of tasks of a job.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
-/// Longest text that a submission may carry in a name.
-const MAX_NAME: usize = 200;
-/// Largest amount that a submission may name.
+/// Maximum length of a name in a submission, in bytes.
+const MAX_NAME_BYTES: usize = 200;
+/// Maximum of a numeric field in a submission.
 const MAX_AMOUNT: f64 = 1e9;
 
-/// Whether a job's tasks complete or run until cancelled.
+/// How the tasks of a job run, and whether they complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shape {
-    /// Independent tasks, each runs to completion.
+    /// Independent tasks, each of which runs to completion.
     #[serde(rename = "sweep")]
     Array,
-    /// Tasks that run to completion, and only together.
+    /// Tasks that run to completion and must all run at the same time (all-or-nothing).
     #[serde(rename = "gang")]
     Gang,
     /// Replicas that run until the job is cancelled.
@@ -26,115 +26,115 @@
     Service,
 }
 
-/// Priority, the lowest first.
+/// Priority of a job, in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// `low`
+    /// Written as `low`.
     Low,
-    /// `normal`
+    /// Written as `normal`.
     Normal,
-    /// `urgent`
+    /// Written as `urgent`.
     Urgent,
-    /// `critical`
+    /// Written as `critical`.
     Critical,
 }
 
-/// A job as its user submitted it.
+/// Specification of a job as submitted by its user.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The job's id.
+    /// Id of the job, chosen by the user.
     #[serde(rename = "nameId")]
     pub id: JobId,
-    /// The class that aims speak of.
+    /// Class of the job, to which objectives refer.
     #[serde(rename = "lane")]
     pub class: String,
-    /// The team whose guarantee and limit apply.
+    /// Team whose guarantee and limit apply.
     #[serde(rename = "crew")]
     pub team: String,
-    /// Array or service.
+    /// Whether the job is an array, a gang or a service.
     pub shape: Shape,
-    /// Its priority.
+    /// Priority for queue order and preemption.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Number of tasks.
+    /// Number of tasks, from 1 to [`MAX_TASKS`].
     #[serde(rename = "takes")]
     pub tasks: u32,
-    /// Processors of a task.
+    /// Processor cores per task.
     pub cores: f64,
-    /// Accelerators of a task.
+    /// Accelerators per task.
     #[serde(rename = "cards")]
     pub accelerators: f64,
-    /// Memory of a task in GB.
+    /// Memory per task in GB.
     #[serde(rename = "ramGb")]
     pub ram_gb: f64,
-    /// The image it needs.
+    /// Name of the image that the tasks run.
     #[serde(rename = "reel")]
     pub image: String,
-    /// The image's size in GB.
+    /// Size of the image in GB.
     #[serde(rename = "pullGb")]
     pub image_gb: f64,
-    /// Allowed machine types, or any.
+    /// Allowed machine types; `None` allows any.
     #[serde(default, rename = "rigs")]
     pub machine_types: Option<Vec<String>>,
-    /// The only allowed zone, or any.
+    /// The only allowed zone; `None` allows any.
     #[serde(default, rename = "yard")]
     pub zone: Option<String>,
-    /// All tasks in the same zone.
+    /// Whether all tasks must run in the same zone.
     pub together: bool,
-    /// At most half of the tasks, rounded up, in one zone.
+    /// Whether at most half of the tasks, rounded up, may run in one zone.
     pub spread: bool,
-    /// May use spot machines.
+    /// Whether the tasks may run on spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time.
+    /// The owner's estimate of a task's run time in seconds.
     #[serde(rename = "expectS")]
-    pub expect_s: f64,
-    /// Interval of checkpoints; 0: never saves.
+    pub expected_run_s: f64,
+    /// Checkpoint interval in seconds; 0 if the tasks never save their work.
     #[serde(rename = "markS")]
     pub checkpoint_s: f64,
-    /// Time to save when stopped.
+    /// Time in seconds that a task needs to save its work when it is stopped.
     #[serde(rename = "stowS")]
     pub save_s: f64,
-    /// When the job should be complete.
+    /// Deadline in seconds after submission; `None` if there is none.
     #[serde(default, rename = "dueS")]
     pub due_s: Option<f64>,
 }
 
-/// Why a submission is refused, in the protocol's names of its fields.
+/// Reason for which a submission is rejected. The messages use the protocol's field names.
 #[derive(Debug, Error)]
 pub enum InvalidSubmission {
-    /// The body is no JSON object.
+    /// The body is not a JSON object.
     #[error("not an object")]
     NotAnObject,
-    /// The body is not of the protocol's form.
+    /// The body is not valid JSON, or a field is missing or has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The job's name is not one.
+    /// The job id is malformed.
     #[error("nameId is not a job id")]
     JobId,
-    /// There are no tasks, or too many.
+    /// The number of tasks is 0 or above the maximum.
     #[error("takes must be 1 to {MAX_TASKS}")]
     TaskCount,
-    /// An amount is negative, too large or not finite.
+    /// A numeric field is negative, too large or not finite.
     #[error("{field} is out of range")]
     OutOfRange {
-        /// The field.
+        /// Name of the field in the protocol.
         field: &'static str,
     },
-    /// A name is longer than any may be.
+    /// A name exceeds the maximum length.
     #[error("a name is too long")]
     NameTooLong,
 }
 
 impl JobSpec {
-    /// Parses a submission.
+    /// Parses and validates a submission.
     ///
     /// # Errors
     ///
-    /// Fails where it is not of the protocol's form, or a value is out of its range.
+    /// Returns an error if the body does not follow the protocol or a value is out of range.
     pub fn parse(body: &[u8]) -> Result<JobSpec, InvalidSubmission> {
-        // A list would pass as a struct with serde, but a submission must be an object.
+        // Serde would also accept an array for a struct, but a submission must be an object.
         if body.iter().find(|b| !b.is_ascii_whitespace()) != Some(&b'{') {
             return Err(InvalidSubmission::NotAnObject);
         }
@@ -155,7 +155,7 @@
             ("cards", self.accelerators),
             ("ramGb", self.ram_gb),
             ("pullGb", self.image_gb),
-            ("expectS", self.expect_s),
+            ("expectS", self.expected_run_s),
             ("markS", self.checkpoint_s),
             ("stowS", self.save_s),
             ("dueS", self.due_s.unwrap_or(0.0)),
@@ -166,23 +166,27 @@
         }
         let names = [&self.class, &self.team, &self.image];
         let listed = self.machine_types.iter().flatten().chain(&self.zone);
-        if names.into_iter().chain(listed).any(|n| n.len() > MAX_NAME) {
+        if names
+            .into_iter()
+            .chain(listed)
+            .any(|n| n.len() > MAX_NAME_BYTES)
+        {
             return Err(InvalidSubmission::NameTooLong);
         }
         Ok(())
     }
 
-    /// What one task takes.
+    /// Returns the resources that one task needs.
     pub fn need(&self) -> Resources {
         Resources::new(self.cores, self.accelerators, self.ram_gb)
     }
 
-    /// Whether its tasks run only together.
+    /// Returns whether the tasks must all run at the same time.
     pub fn is_gang(&self) -> bool {
         self.shape == Shape::Gang
     }
 
-    /// The most tasks that may be in one zone.
+    /// Returns the maximum number of tasks in one zone.
     pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -191,7 +195,7 @@
         }
     }
 
-    /// Whether a machine of this type, zone and kind is allowed at all.
+    /// Returns whether tasks may run on a machine of this type and zone, spot or on-demand.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         self.machine_types
             .as_ref()
@@ -200,7 +204,7 @@
             && (self.spot || !spot)
     }
 
-    /// How long a stopped task must be given so that it saves; zero where it can't.
+    /// Returns how many seconds a stopped task must be given to save its work; 0 if it cannot save.
     pub fn save_grace_s(&self) -> f64 {
         if self.checkpoint_s > 0.0 {
             self.save_s
--- a/src/scheduler/job_spec/tests.rs
+++ b/src/scheduler/job_spec/tests.rs
@@ -9,19 +9,19 @@
 }
 
 #[test]
-fn submissions_are_read_with_absent_nulls_and_unknown_fields() {
+fn absent_nullable_fields_and_unknown_fields_are_accepted() {
     let mut body = submission();
     body["more"] = json!([1]);
     for nullable in ["yard", "rigs", "dueS"] {
         body.as_object_mut().expect("an object").remove(nullable);
     }
-    let spec = JobSpec::parse(body.to_string().as_bytes()).expect("a fine submission");
+    let spec = JobSpec::parse(body.to_string().as_bytes()).expect("a valid submission");
     assert_eq!(spec.tasks, 16);
     assert!(spec.allows("any", "a", true));
 }
 
 #[test]
-fn malformed_submissions_are_refused() {
+fn malformed_submissions_are_rejected() {
     for (field, value) in [
         ("nameId", json!("x-1")),
         ("nameId", json!("j-1/2")),
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between workers and the leader: heartbeats and commands.
+//! Messages between workers and the leader: heartbeats and commands.
 
 use crate::fencing::FencingToken;
 use crate::ids::{MachineId, TaskId};
@@ -7,66 +7,66 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// A task's state as its worker reports it.
+/// State of a task as reported by its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Waiting for its image.
+    /// The image is being fetched.
     #[serde(rename = "pulling")]
     Fetching,
-    /// Running.
+    /// The task is running.
     Running,
-    /// Saving after a stop.
+    /// The task was stopped and is saving its work.
     #[serde(rename = "flushing")]
     Saving,
-    /// Ended.
+    /// The task has ended.
     Exited,
-    /// A state that this version does not know: the task keeps its resources.
+    /// A state unknown to this version. The task keeps its resources.
     #[serde(other)]
     Other,
 }
 
-/// Why a task ended.
+/// Reason for which a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitCause {
-    /// Completed.
+    /// It completed.
     Done,
-    /// Stopped by command.
+    /// It was stopped by a command.
     #[serde(rename = "halted")]
     Stopped,
-    /// Failed.
+    /// It failed.
     Error,
-    /// Refused: not enough free resources.
+    /// The start was rejected: not enough free resources.
     NoRoom,
-    /// Refused: another attempt of it is there.
+    /// The start was rejected: another attempt of the task is on the machine.
     Busy,
-    /// Refused: no such job or task.
+    /// The start was rejected: the job or task does not exist.
     Unknown,
-    /// A cause that this version does not know.
+    /// A cause unknown to this version.
     #[serde(other)]
     Other,
 }
 
-/// A task in a heartbeat.
+/// Status of a task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Encode, Decode)]
 pub struct TaskStatus {
-    /// The task.
+    /// Id of the task, as sent. If it is malformed, the leader logs it and skips the task.
     #[serde(rename = "take")]
     pub task: String,
-    /// The attempt.
+    /// Attempt number.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Its state.
+    /// State of the task.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why it ended.
+    /// Reason for which it ended; `None` while it has not.
     #[serde(default)]
     pub cause: Option<ExitCause>,
 }
 
 impl TaskStatus {
-    /// Its state as reconciliation sees it.
+    /// Returns the state in the form that reconciliation uses.
     pub fn reported_state(&self) -> ReportedState {
         match (self.state, self.cause) {
             (TaskState::Exited, Some(ExitCause::Done)) => ReportedState::Completed,
@@ -76,40 +76,40 @@
     }
 }
 
-/// A worker's heartbeat.
+/// Heartbeat of a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Encode, Decode)]
 pub struct Heartbeat {
-    /// The machine.
+    /// Machine that the worker runs on.
     #[serde(rename = "host")]
     pub machine: MachineId,
-    /// Its type.
+    /// Type of the machine.
     #[serde(rename = "rig")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
     /// Whether it is a spot machine, which the cloud may preempt.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The worker's agent epoch.
+    /// Agent epoch of the worker.
     #[serde(rename = "watch")]
     pub agent_epoch: u64,
-    /// Rises with every message of an agent epoch.
+    /// Sequence number, which increases with every message of an agent epoch.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// Highest fencing token that the worker has seen.
     #[serde(rename = "warrant")]
     pub token: FencingToken,
-    /// Seconds until the cloud preempts the machine.
+    /// Seconds until the cloud preempts the machine; `None` if no preemption has been announced.
     #[serde(default, rename = "warningS")]
     pub notice_s: Option<f64>,
-    /// All tasks on the machine.
+    /// All tasks on the machine, including exited ones that have not been cleared.
     #[serde(rename = "takes")]
     pub tasks: Vec<TaskStatus>,
 }
 
 impl Heartbeat {
-    /// Where it stands among its machine's messages.
+    /// Returns the position among the heartbeats of the machine.
     pub fn position(&self) -> HeartbeatPosition {
         HeartbeatPosition {
             agent_epoch: self.agent_epoch,
@@ -118,19 +118,20 @@
     }
 }
 
-/// The tasks of a heartbeat by their name and attempt.
+/// Index of the tasks in a heartbeat by id and attempt.
 ///
-/// Guards against a walk over all tasks of a heartbeat for each placement and for each command that it may answer.
+/// Avoids a scan of all tasks in a heartbeat for each placement and for each command that the heartbeat may
+/// acknowledge.
 pub struct TaskStatusIndex<'a>(HashMap<(&'a str, u64), &'a TaskStatus>);
 
 impl<'a> TaskStatusIndex<'a> {
-    /// The index of a heartbeat.
+    /// Builds the index of a heartbeat.
     pub fn new(heartbeat: &'a Heartbeat) -> TaskStatusIndex<'a> {
         let tasks = heartbeat.tasks.iter();
         TaskStatusIndex(tasks.map(|t| ((t.task.as_str(), t.attempt), t)).collect())
     }
 
-    /// What is reported of an attempt of a task.
+    /// Returns the reported status of an attempt of a task, if any.
     pub fn get(&self, task: &TaskId, attempt: u64) -> Option<&'a TaskStatus> {
         if self.0.is_empty() {
             return None;
@@ -140,37 +141,37 @@
     }
 }
 
-/// A command to a worker.
+/// Command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Encode, Decode)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum AgentCommand {
-    /// Start a task.
+    /// Starts a task.
     Run {
-        /// The task.
+        /// Id of the task.
         #[serde(rename = "take")]
         task: String,
-        /// The attempt.
+        /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// Stop a task.
+    /// Stops a task.
     Stop {
-        /// The task.
+        /// Id of the task.
         #[serde(rename = "take")]
         task: String,
-        /// The attempt.
+        /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
-        /// How long it may take to save.
+        /// Time in seconds that the task is given to save its work.
         #[serde(rename = "slackS")]
-        slack_s: f64,
+        save_grace_s: f64,
     },
-    /// Drop an exited task from the heartbeats.
+    /// Removes an exited task from the heartbeats.
     Clear {
-        /// The task.
+        /// Id of the task.
         #[serde(rename = "take")]
         task: String,
-        /// The attempt.
+        /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
     },
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -246,7 +246,7 @@
         // time would stop it again and again, and it would never end. A guarantee takes its room at once, unless what
         // borrows it has ended in less time than a restart takes.
         let both_arrays = by.spec.shape == Shape::Array && job.spec.shape == Shape::Array;
-        let is_short = Micros::from_secs_f64(job.spec.expect_s) <= MIN_RUN_TIME;
+        let is_short = Micros::from_secs_f64(job.spec.expected_run_s) <= MIN_RUN_TIME;
         if both_arrays && ran < MIN_RUN_TIME && (!lent || is_short) {
             return None;
         }
@@ -269,7 +269,7 @@
         let Some(due_s) = job.spec.due_s else {
             return Micros::ZERO;
         };
-        let whole = Micros::from_secs_f64(job.spec.expect_s);
+        let whole = Micros::from_secs_f64(job.spec.expected_run_s);
         let left = whole.since(ran);
         let breaks = [2, 3].into_iter().any(|halves| {
             let due = job.submitted_at + Micros::from_secs_f64(due_s).scaled(halves, 2).0;
--- a/src/scheduler/rebuild.rs
+++ b/src/scheduler/rebuild.rs
@@ -1,5 +1,5 @@
-//! Recovery from a loss of stored state: the last placements may be missing from it, so nothing is offered before every
-//! machine has reported what is on it.
+//! Recovery from a loss of stored state. The latest placements may be missing from the stored state, so nothing is
+//! offered until every machine has reported its tasks.
 
 use super::Scheduler;
 use super::events::SchedulerEvent;
@@ -8,22 +8,22 @@
 use crate::ids::TaskId;
 use crate::units::Micros;
 
-/// Attempts after a loss begin so far above those before it: records may lack the last ones, and a worker takes an attempt
-/// that it had before for a repetition.
+/// Gap between the attempts before and after a loss of stored state. The records may lack the last attempts before the
+/// loss, and a worker treats a start with an attempt that it has already had as a duplicate.
 const ATTEMPTS_PER_LOSS: u64 = 1 << 32;
-/// Interval at which it is logged how many machines are waited for.
+/// Interval at which the number of machines that have not reported is logged.
 const LOG_INTERVAL: Micros = Micros::secs(10);
 
-/// A rebuild that waits for machines.
+/// A rebuild that waits for machines to report.
 #[derive(Debug)]
 pub(super) struct Rebuild {
-    /// The list of machines was asked for so late that it has every machine that was provisioned before the loss.
+    /// Whether a machine list was requested late enough to include every machine provisioned before the loss.
     listed: bool,
     logged_at: Micros,
 }
 
 impl Scheduler {
-    /// Begins a term after the loss of stored state with this number: offers wait until all machines have reported.
+    /// Starts a term after loss number `loss_number` of stored state: offers wait until all machines have reported.
     pub fn begin_rebuild(&mut self, loss_number: u64, now: Micros) {
         self.raise_min_attempt(loss_number);
         self.rebuild = Some(Rebuild {
@@ -32,17 +32,17 @@
         });
     }
 
-    /// Raises the attempts above all that were given out before the last loss.
+    /// Raises the lower bound of attempts above all attempts assigned before the last loss.
     pub fn raise_min_attempt(&mut self, losses: u64) {
         self.min_attempt = losses * ATTEMPTS_PER_LOSS;
     }
 
-    /// Whether offers wait for machines that may run what no record shows.
+    /// Returns whether offers wait for machines that may run tasks without a record.
     pub fn is_rebuilding(&self) -> bool {
         self.rebuild.is_some()
     }
 
-    /// The machine list was read, and was asked for at this time.
+    /// Records that a machine list was read that was requested at `requested_at`.
     pub(super) fn observe_machine_list_in_rebuild(&mut self, requested_at: Micros) {
         let lag = self.config.list_lag.scaled(2, 1) + Micros::secs(1);
         let is_recent_enough = requested_at.since(self.started_at) > lag;
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Returns true once every machine has reported what is on it, or is gone.
+    /// Completes the rebuild once every machine has reported its tasks or is gone. Returns true if it does so in this
+    /// call.
     pub fn check_rebuild(&mut self, now: Micros) -> bool {
         let unreported = self
             .machines
@@ -86,7 +87,7 @@
         false
     }
 
-    /// Takes in an attempt that no record shows: later ones must be higher.
+    /// Raises a chunk's last attempt to that of a reported task without a record, so that later attempts are higher.
     pub(super) fn raise_last_attempt(&mut self, task: &TaskId, attempt: u64) {
         if self.rebuild.is_none() {
             return;
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -1,4 +1,5 @@
-//! Reconciliation of placements with heartbeats, task by task: what each proves, and what follows from it.
+//! Reconciliation of placements with heartbeats. For each task, a heartbeat leads to a verdict and the verdict to an
+//! action.
 
 use super::Scheduler;
 use super::events::SchedulerEvent;
@@ -13,11 +14,11 @@
 };
 use std::collections::BTreeMap;
 
-/// Pause after a worker refused a start.
+/// Delay before a job is offered again after a worker rejected a start.
 const START_REFUSED_BACKOFF: Micros = Micros::secs(1);
 
 impl Scheduler {
-    /// Compares the placements on the machine with what it reports.
+    /// Compares the placements on a machine with its heartbeat. Returns whether anything must be written or offered.
     pub(super) fn reconcile_placements(
         &mut self,
         heartbeat: &Heartbeat,
@@ -45,7 +46,8 @@
         changed
     }
 
-    /// Compares one placement with what its machine reports of it; whether something follows.
+    /// Compares one placement with the state that its machine reports. Returns whether anything must be written or
+    /// offered.
     fn reconcile_placement(
         &mut self,
         task: &TaskId,
@@ -67,7 +69,7 @@
         if let Some(t) = reported {
             p.reported_state = Some(t.state);
             if context.shows_token {
-                // The worker has seen this leader's token, so no command of an earlier leader can follow.
+                // The worker has seen this leader's token, so it accepts no later command of an earlier leader.
                 p.inherited = false;
                 p.sent = Some(context.position);
             }
@@ -109,7 +111,7 @@
         self.jobs.get_mut(&task.job)?.placement_mut(task.index)
     }
 
-    /// A placed task is reported as running, perhaps for the first time.
+    /// Records that a placed task is running. Only the first such report has an effect.
     fn record_running(&mut self, task: &TaskId, machine: &MachineId, now: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -130,7 +132,7 @@
         self.record_image(machine, &spec);
     }
 
-    /// A placed task ended.
+    /// Handles the exit of a placed task.
     fn task_exited(
         &mut self,
         task: &TaskId,
@@ -173,7 +175,8 @@
         }
     }
 
-    /// Reconciles what is reported but not placed: stale attempts, unknown tasks, tasks that ended before.
+    /// Reconciles reported tasks that are not placed on the machine with that attempt: stale attempts, unknown tasks,
+    /// and tasks that ended earlier. Returns whether anything must be written or offered.
     pub(super) fn reconcile_unplaced(&mut self, heartbeat: &Heartbeat, now: Micros) -> bool {
         let mut exited = Vec::new();
         let mut unexpected = BTreeMap::new();
@@ -202,7 +205,7 @@
                 }
                 UnrecordedVerdict::Ended => exited.push((task, t.attempt)),
                 UnrecordedVerdict::Adopted => {
-                    // Only a lower attempt can be recorded, which was off its machine before this one was given out.
+                    // A recorded attempt can only be lower, and was off its machine before this one was assigned.
                     self.release(&task.job, task.index);
                     self.adopt(&task, heartbeat, t, now);
                     changed = true;
@@ -222,7 +225,7 @@
         for resources in m.unexpected_tasks.values() {
             m.used -= *resources;
         }
-        // The resources of an unknown task are unknown as well: the machine counts as full until it is gone.
+        // The resources of an unknown task are unknown, so the machine counts as full until the task is gone.
         let total = m.total;
         m.unexpected_tasks = unexpected
             .into_iter()
@@ -235,7 +238,7 @@
         changed
     }
 
-    /// What is recorded of a task that a machine reports without a placement of that attempt there.
+    /// Returns what is recorded of a task that a machine reports without a placement of that attempt there.
     fn as_unrecorded(&self, task: &TaskId, attempt: u64) -> UnrecordedTask {
         let job = self.jobs.get(&task.job);
         let recorded = self.placement(task);
@@ -280,7 +283,7 @@
     }
 }
 
-/// How a verdict confirms a recorded task, if it does.
+/// Returns how a verdict resolves a recorded placement, or `None` if it stays unconfirmed.
 fn resolution(verdict: RecordedVerdict) -> Option<Resolution> {
     match verdict {
         RecordedVerdict::Agrees => Some(Resolution::Agreed),
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -1,54 +1,54 @@
-//! What the state service keeps of a job: its submission, its end, and its tasks in chunks.
+//! Stored records of a job: its submission, its end, and its tasks in chunks.
 
 use super::job_spec::JobSpec;
 use crate::ids::MachineId;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// Tasks of one chunk, the unit in which a job's run is written down.
+/// Number of tasks in a chunk, the unit in which the state of a job's tasks is written.
 pub const CHUNK_SIZE: u32 = 64;
 
-/// How a job ended; decided once for ever.
+/// How a job ended. The first recorded outcome is final.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobOutcome {
     /// All tasks completed.
     Done,
-    /// Its user cancelled it.
+    /// The job was cancelled by its user.
     Aborted,
 }
 
-/// The record of a job's end.
+/// Record of the end of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct JobEnd {
-    /// How.
+    /// How the job ended.
     #[serde(rename = "how")]
     pub outcome: JobOutcome,
-    /// When, in microseconds of the time of day.
+    /// Time of the end, as Unix time in microseconds.
     pub at: u64,
-    /// Tasks completed by then.
+    /// Number of tasks that had completed by then.
     pub done: u32,
 }
 
-/// The record of a job's submission.
+/// Record of the submission of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What was asked for.
+    /// Specification as submitted.
     pub spec: Rc<JobSpec>,
-    /// When, in microseconds of the time of day.
+    /// Time of the submission, as Unix time in microseconds.
     pub at: u64,
 }
 
-/// The record of a chunk of a job's tasks.
+/// Record of a chunk of a job's tasks.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ChunkRecord {
-    /// Bit by bit, the tasks that are finished; hexadecimal, as not every JSON reader keeps 64 bits.
+    /// Bitmap of finished tasks, in hexadecimal as not every JSON parser preserves 64-bit integers.
     #[serde(rename = "f", with = "hex")]
     pub finished: u64,
-    /// The highest attempt that any task of the chunk was given.
+    /// Highest attempt assigned to any task of the chunk.
     #[serde(rename = "a")]
     pub last_attempt: u64,
-    /// Tasks that may be on a machine: place within the chunk, machine, attempt.
+    /// Tasks that may be on a machine: index within the chunk, machine, attempt.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub live: Vec<(u8, MachineId, u64)>,
 }
--- a/src/scheduler/recovery.rs
+++ b/src/scheduler/recovery.rs
@@ -1,7 +1,6 @@
-//! Progress of a new leader's recovery: which of the recorded placements are confirmed, logged in a few lines.
+//! Progress of a new leader's recovery: counts and logs which recorded placements are confirmed.
 //!
-//! The comparison itself is part of every heartbeat (`reconciliation`) and rests on `ravenhead-recovery`; this module
-//! only counts.
+//! The comparison itself is part of handling heartbeats (`reconciliation`) and uses `ravenhead-recovery`.
 
 use super::events::SchedulerEvent;
 use super::{Scheduler, live_tasks};
@@ -20,7 +19,7 @@
 }
 
 impl Scheduler {
-    /// Begins to count what is confirmed of the placements taken over, if operators want it logged.
+    /// Starts to count confirmations of the recorded placements, if the recovery report is enabled.
     pub fn begin_recovery(&mut self, now: Micros) {
         if !self.config.recovery_report {
             return;
@@ -40,7 +39,7 @@
         });
     }
 
-    /// A placement was confirmed, or is known to be no more.
+    /// Records that a placement is confirmed or known to be gone.
     pub(super) fn confirm(&mut self, task: &TaskId, resolution: Resolution) {
         if let Some(recovery) = &mut self.recovery {
             recovery
@@ -49,14 +48,14 @@
         }
     }
 
-    /// A task without a placement was reported.
+    /// Counts a reported task that has no recorded placement.
     pub(super) fn count_unrecorded(&mut self, verdict: UnrecordedVerdict) {
         if let Some(recovery) = &mut self.recovery {
             recovery.progress.found(verdict);
         }
     }
 
-    /// Logs the progress of the recovery; once it has ended, its summary.
+    /// Logs the progress of the recovery or, once it is complete, its summary.
     pub(super) fn report_recovery(&mut self, now: Micros) {
         let Some(recovery) = &mut self.recovery else {
             return;
--- a/src/scheduler/reserve.rs
+++ b/src/scheduler/reserve.rs
@@ -70,7 +70,7 @@
         let Some(boot) = self.machine_types.values().map(MachineType::boot).min() else {
             return false;
         };
-        let spare = |due: f64| Micros::from_secs_f64(due - spec.expect_s);
+        let spare = |due: f64| Micros::from_secs_f64(due - spec.expected_run_s);
         let starts_in_time = self.config.wait_within.get(&spec.class).copied();
         let ends_in_time = spec.due_s.map(spare);
         let min_slack = starts_in_time.into_iter().chain(ends_in_time).min();
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -359,7 +359,7 @@
         let Some(since) = job.placement(task.index).and_then(|p| p.running_since) else {
             return false;
         };
-        let expected = Micros::from_secs_f64(job.spec.expect_s);
+        let expected = Micros::from_secs_f64(job.spec.expected_run_s);
         let left = expected.since(now.since(since));
         // An estimate that has run out says little; a quarter as long again is a fair guess.
         job.spec.shape == Shape::Array && left.max(expected.scaled(1, 4)) <= limit
--- a/src/scheduler/scenarios/commands.rs
+++ b/src/scheduler/scenarios/commands.rs
@@ -100,7 +100,7 @@
     assert!(
         orders
             .iter()
-            .all(|o| matches!(o, AgentCommand::Stop { slack_s, .. } if *slack_s == 0.0))
+            .all(|o| matches!(o, AgentCommand::Stop { save_grace_s, .. } if *save_grace_s == 0.0))
     );
     t.workers.get_mut("m-1").unwrap().execute(&orders, TOKEN);
     t.beat("m-1");
--- a/src/scheduler/scenarios/fleet.rs
+++ b/src/scheduler/scenarios/fleet.rs
@@ -170,7 +170,7 @@
     let mut t = Scenario::new(0.0);
     t.worker("m-1", "a", false);
     t.submit(JobSpec {
-        expect_s: 40.0,
+        expected_run_s: 40.0,
         ..spec("j-1", 2)
     });
     t.round();
--- a/src/scheduler/scenarios/latency_sensitive.rs
+++ b/src/scheduler/scenarios/latency_sensitive.rs
@@ -10,7 +10,7 @@
 fn latency_sensitive(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         priority: Priority::Urgent,
-        expect_s: 15.0,
+        expected_run_s: 15.0,
         checkpoint_s: 0.0,
         due_s: Some(30.0),
         ..spec(id, tasks)
@@ -33,7 +33,7 @@
     };
     t.worker("m-1", "a", false);
     let long = |id: &str, tasks: u32| JobSpec {
-        expect_s: 100.0,
+        expected_run_s: 100.0,
         due_s: Some(200.0),
         ..latency_sensitive(id, tasks)
     };
@@ -118,7 +118,7 @@
 // run once more.
 #[test]
 fn a_guarantee_waits_for_short_borrowed_tasks_but_not_for_long_ones() {
-    let stops = |expect_s: f64| {
+    let stops = |expected_run_s: f64| {
         let mut t = Scenario::new(0.0);
         t.s.config.guarantee_within = Some(Micros::secs(10));
         for team in ["owed", "borrows"] {
@@ -128,7 +128,7 @@
         t.worker("m-1", "a", false);
         t.submit(JobSpec {
             team: "borrows".into(),
-            expect_s,
+            expected_run_s,
             ..spec("j-1", 2)
         });
         t.round();
--- a/src/scheduler/scenarios/mod.rs
+++ b/src/scheduler/scenarios/mod.rs
@@ -170,7 +170,7 @@
         together: false,
         spread: false,
         spot: true,
-        expect_s: 60.0,
+        expected_run_s: 60.0,
         checkpoint_s: 30.0,
         save_s: 4.0,
         due_s: None,
--- a/src/scheduler/scenarios/queue_order.rs
+++ b/src/scheduler/scenarios/queue_order.rs
@@ -17,7 +17,7 @@
     t.round();
     let stops = t.ask("m-1");
     assert!(
-        matches!(stops[..], [AgentCommand::Stop { slack_s, .. }] if slack_s >= 4.0),
+        matches!(stops[..], [AgentCommand::Stop { save_grace_s, .. }] if save_grace_s >= 4.0),
         "it may save"
     );
     t.workers.get_mut("m-1").unwrap().execute(&stops, TOKEN);
@@ -417,7 +417,7 @@
         cores: 4.0,
         accelerators: 0.0,
         ram_gb: 20.0,
-        expect_s: 300.0,
+        expected_run_s: 300.0,
         ..spec(id, tasks)
     }
 }
--- a/src/scheduler/scenarios/scale.rs
+++ b/src/scheduler/scenarios/scale.rs
@@ -42,7 +42,7 @@
 fn full_fleet(machines: usize) -> Scenario {
     let mut t = empty_fleet(machines);
     t.submit(JobSpec {
-        expect_s: 5_000.0,
+        expected_run_s: 5_000.0,
         ..spec("j-0", 2 * machines as u32)
     });
     while t.s.machines.values().any(|m| m.reserved.len() < 2) {
@@ -108,7 +108,7 @@
         steps(&mut t, |t| {
             t.s.on_heartbeat(&report, "n-1", t.now);
             t.s.commands_for(&report.machine, report.position(), t.now);
-            t.s.awaits_write(&report.machine);
+            t.s.has_unwritten_placements(&report.machine);
         })
     });
 }
--- a/src/scheduler/writes.rs
+++ b/src/scheduler/writes.rs
@@ -1,6 +1,6 @@
-//! Pending writes, in batches, and what follows from a batch's outcome.
+//! Batches of pending writes, and how their outcomes are applied.
 //!
-//! Only one batch is in flight at a time; the controller reports its outcome before it requests the next.
+//! Only one batch is in flight at a time: the controller reports its outcome before it requests the next one.
 
 use super::Scheduler;
 use super::job::Job;
@@ -13,65 +13,66 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
 
-/// Maximum of changes of one write, those that remove records aside.
+/// Maximum number of operations in one write, except [`Write::Remove`].
 const MAX_OPS_PER_WRITE: usize = 3;
-/// Where writes are short, finishes wait so long for others of their job.
+/// While writes are limited, maximum time for which the write of a finished task is delayed to batch it with others of
+/// its job.
 const MAX_FINISH_DELAY: Micros = Micros::secs(10);
-/// Machines whose images go into one batch.
+/// Maximum number of machines whose images are written in one batch.
 const IMAGES_PER_BATCH: usize = 4;
 
-/// Something to be written down, conditional on the leader key.
+/// A change to stored state. Every write has the compare-and-set condition that the leader key is unchanged.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Write {
-    /// A chunk's record.
+    /// Writes the record of a chunk.
     Chunk {
-        /// The job.
+        /// Job that the chunk belongs to.
         job: JobId,
-        /// The chunk's number.
+        /// Number of the chunk within the job.
         chunk: u32,
-        /// Its record.
+        /// Content to be written.
         record: ChunkRecord,
-        /// The version that it replaces.
+        /// Version of the record that is replaced.
         version: Revision,
-        /// Whether tasks are newly placed by it, so that the job must not be over.
+        /// Whether the record contains new placements. If so, the write also requires that the job has not ended.
         has_new_placements: bool,
     },
-    /// The end of a job whose tasks are all finished.
+    /// Writes the end of a job whose tasks have all finished.
     Done {
-        /// The job.
+        /// Job that has ended.
         job: JobId,
-        /// Its number of tasks.
+        /// Number of tasks of the job.
         tasks: u32,
     },
-    /// The end of a job of one chunk with its last finishes, which leaves nothing else of it.
+    /// Writes the end of a job with a single chunk together with its last completions, and deletes its other records.
     DoneAndRemove {
-        /// The job.
+        /// Job that has ended.
         job: JobId,
-        /// Its number of tasks.
+        /// Number of tasks of the job.
         tasks: u32,
-        /// The version of its chunk, which goes.
+        /// Version of the chunk's record, which is deleted.
         version: Revision,
     },
-    /// The images that a machine has, for the next leader; none: the machine is gone.
+    /// Writes the images present on a machine, for the next leader.
     Images {
-        /// The machine.
+        /// Machine that has the images.
         machine: MachineId,
-        /// Its images with their sizes.
+        /// Images with their sizes; `None` if the machine is gone and the record is to be deleted.
         images: Option<Vec<CachedImage>>,
     },
-    /// Removal of the records of a job that has ended and has no task left.
+    /// Deletes records of a job that has ended and has no tasks on machines.
     Remove {
-        /// The job.
+        /// Job that has ended.
         job: JobId,
-        /// Its chunks with their versions.
+        /// Numbers and versions of the chunks to delete.
         chunks: Vec<(u32, Revision)>,
-        /// Whether these are the last ones, so that the submission's record goes as well.
+        /// Whether these are the last chunks, so that the record of the submission is deleted as well.
         is_last: bool,
     },
 }
 
 impl Write {
-    /// How many puts and deletes it takes.
+    /// Returns the number of put and delete operations in the write.
     pub fn ops(&self) -> usize {
         match self {
             Write::Chunk { .. } | Write::Done { .. } | Write::Images { .. } => 1,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The job it concerns, if any.
+    /// Returns the job that the write concerns, if any.
     pub fn job(&self) -> Option<&JobId> {
         match self {
             Write::Chunk { job, .. }
@@ -94,7 +95,8 @@
     }
 }
 
-/// A chunk's place among those to be written: by its job's priority, the highest first, then by name.
+/// A chunk queued for writing. Chunks are ordered by the priority of their job, highest first, then by job id and
+/// number.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueuedChunk {
     priority: Reverse<Priority>,
@@ -112,10 +114,10 @@
     }
 }
 
-/// Chunks whose changes wait for others of their job, those that changed first in front.
+/// Chunks whose writes are deferred to be batched with others of their job, ordered by the time of their change.
 ///
-/// Guards against looking at every chunk of a job of a hundred thousand tasks again for each batch, only to find that it
-/// still waits.
+/// Without this queue, every batch would examine each chunk of a job with 100,000 tasks again, only to find that its
+/// write is still deferred.
 #[derive(Debug, Default)]
 pub(super) struct DeferredChunks {
     by_change: BTreeSet<(Micros, QueuedChunk)>,
@@ -129,7 +131,7 @@
         self.by_change.insert((changed_at, queued));
     }
 
-    /// A chunk waits no more.
+    /// Removes a chunk.
     pub(super) fn remove(&mut self, queued: &QueuedChunk) {
         let Some(chunks) = self.changed_at.get_mut(&queued.job) else {
             return;
@@ -142,7 +144,7 @@
         }
     }
 
-    /// The chunks that changed at or before this time wait no more.
+    /// Removes and returns the chunks that changed at or before `time`.
     fn take_until(&mut self, time: Micros) -> Vec<QueuedChunk> {
         let mut taken = Vec::new();
         while let Some((changed_at, queued)) = self.by_change.first()
@@ -155,7 +157,7 @@
         taken
     }
 
-    /// The chunks of a job wait no more.
+    /// Removes and returns the chunks of a job.
     fn take_job(&mut self, job: &JobId, priority: Priority) -> Vec<QueuedChunk> {
         let chunks = self.changed_at.get(job).into_iter().flatten();
         let queued_chunks: Vec<QueuedChunk> = chunks
@@ -169,7 +171,7 @@
 }
 
 impl Scheduler {
-    /// A job's changes are written as soon as can be from now on.
+    /// Moves the deferred chunks of a job to the queue for the next batches.
     pub(super) fn stop_deferring(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get(id) {
             let queued_chunks = self.deferred.take_job(id, job.spec.priority);
@@ -177,13 +179,18 @@
         }
     }
 
-    /// What is to be written next, at most `ops` puts and deletes and about `bytes`; where writes are `short` only what
-    /// users and workers wait for.
+    /// Returns the next batch of writes, with at most `max_ops` put and delete operations and about `max_bytes` bytes.
+    /// If `write_limited`, it contains only writes that users or workers wait for.
     ///
-    /// Only one batch may be in flight: its outcome must be reported before the next is requested.
-    pub fn next_batch(&mut self, ops: usize, bytes: usize, write_limited: bool) -> Vec<Write> {
+    /// Only one batch may be in flight: its outcome must be reported before the next one is requested.
+    pub fn next_batch(
+        &mut self,
+        max_ops: usize,
+        max_bytes: usize,
+        write_limited: bool,
+    ) -> Vec<Write> {
         let mut batch = Vec::new();
-        let mut remaining_ops = ops;
+        let mut remaining_ops = max_ops;
         let mut size = 0;
         let latest_ready_change = if write_limited {
             self.latest.since(MAX_FINISH_DELAY)
@@ -192,7 +199,7 @@
         };
         let ready = self.deferred.take_until(latest_ready_change);
         self.dirty.extend(ready);
-        while remaining_ops >= MAX_OPS_PER_WRITE && size < bytes {
+        while remaining_ops >= MAX_OPS_PER_WRITE && size < max_bytes {
             let Some(queued) = self.dirty.pop_first() else {
                 break;
             };
@@ -242,10 +249,12 @@
         batch
     }
 
-    /// Returns when a chunk changed if its write may be deferred: its job goes on, nothing is newly placed, and it is recent.
+    /// Returns the time at which a chunk changed if its write may be deferred: its job continues, it has no new
+    /// placements, and the change is recent.
     ///
-    /// Guards against the finishes of many short tasks, each written by itself, that use up the writes for which starts
-    /// wait. What is not written yet is still in the workers' heartbeats, as it is not cleared before.
+    /// Without deferral, the separate completions of many short tasks would use up the write rate that starts wait for.
+    /// Completions that are not written yet remain in the workers' heartbeats, as they are cleared only after the
+    /// write.
     fn deferrable_since(&self, id: &JobId, number: u32) -> Option<Micros> {
         let job = self.jobs.get(id)?;
         let chunk = job.chunks.get(&number)?;
@@ -256,8 +265,9 @@
         waits.then_some(chunk.changed_at)
     }
 
-    /// The end of a job of one chunk whose tasks are all finished, with nothing left of it: three changes in place of five,
-    /// as users may submit jobs of one task by the thousand.
+    /// Returns the write that ends a job with a single chunk if all its tasks have finished, and deletes its other
+    /// records. This takes three operations rather than five, which matters as users may submit thousands of jobs with
+    /// one task.
     fn completion_in_one_write(&mut self, id: &JobId) -> Option<Write> {
         let job = self.jobs.get_mut(id)?;
         let finished = job.done == job.spec.tasks && job.live == 0;
@@ -275,7 +285,7 @@
         })
     }
 
-    /// Images seen on machines, a few at a time as they matter least.
+    /// Adds writes of the images on machines. They have the lowest urgency, so each batch contains only a few.
     fn add_images(&mut self, batch: &mut Vec<Write>, remaining_ops: &mut usize) {
         let mut remaining_images = IMAGES_PER_BATCH.min(*remaining_ops);
         while remaining_images > 0 {
@@ -296,12 +306,12 @@
         }
     }
 
-    /// What an earlier leader knew of a machine's images.
+    /// Takes over the images of a machine that an earlier leader recorded.
     pub fn inherit_images(&mut self, machine: &MachineId, images: &[CachedImage]) {
         self.known_images.insert(machine.clone(), images.to_vec());
     }
 
-    /// Ends of jobs whose every finish is written.
+    /// Adds the ends of jobs for which all completions of tasks have been written.
     fn add_completions(&mut self, batch: &mut Vec<Write>, remaining_ops: &mut usize) {
         for id in &self.finished {
             if *remaining_ops == 0 {
@@ -327,9 +337,9 @@
         }
     }
 
-    /// Removal of what nobody needs any more, when there is nothing else to write.
-    fn add_removals(&mut self, batch: &mut Vec<Write>, ops: usize) {
-        let mut remaining_ops = ops;
+    /// Adds the removal of records that are no longer needed. Called only if there is nothing else to write.
+    fn add_removals(&mut self, batch: &mut Vec<Write>, max_ops: usize) {
+        let mut remaining_ops = max_ops;
         for id in &self.terminal {
             let Some(job) = self.jobs.get(id) else {
                 continue;
@@ -340,9 +350,9 @@
                 .filter(|(_, c)| c.version > Revision::NONE)
                 .map(|(n, c)| (*n, c.version))
                 .collect();
-            // A large job's chunks go in several steps; its own record goes last.
-            let is_last = chunks.len() < ops;
-            chunks.truncate(ops.saturating_sub(1));
+            // The chunks of a large job are deleted in several steps, the record of its submission in the last one.
+            let is_last = chunks.len() < max_ops;
+            chunks.truncate(max_ops.saturating_sub(1));
             let write = Write::Remove {
                 job: id.clone(),
                 chunks,
@@ -356,7 +366,7 @@
         }
     }
 
-    /// A batch was applied at this revision.
+    /// Applies the outcome of a batch that was written at revision `version`.
     pub fn batch_applied(&mut self, batch: &[Write], version: Revision) {
         for write in batch {
             match write {
@@ -414,7 +424,7 @@
         }
     }
 
-    /// Nothing of a job that is gone is written any more.
+    /// Discards the pending writes of a job that has been removed.
     fn discard_writes(&mut self, job: &Job) {
         let (id, priority) = (&job.spec.id, job.spec.priority);
         self.deferred.take_job(id, priority);
@@ -425,7 +435,7 @@
         }
     }
 
-    /// The end of a job was not written after all.
+    /// Reverts the transition of a job to its end after the write of the end was not applied.
     fn revert_end(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.ending = job.end.is_some();
@@ -434,7 +444,7 @@
         self.update_waiting(id);
     }
 
-    /// A batch was certainly not applied.
+    /// Queues the changes of a batch again that is known not to have been applied.
     pub fn batch_not_applied(&mut self, batch: &[Write]) {
         for write in batch {
             match write {
--- a/tests/pinned_frames.rs
+++ b/tests/pinned_frames.rs
@@ -119,7 +119,7 @@
     AgentCommand::Stop {
         task: "j-000412/99999".into(),
         attempt: 1 << 40,
-        slack_s: 30.25,
+        save_grace_s: 30.25,
     }
 }
 
