--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -160,7 +160,7 @@
 
     /// Where a worker that needs nothing is redirected, if this leader holds too many of them.
     fn rebalance(&self, term: &LeaderTerm, heartbeat: &Heartbeat) -> Option<String> {
-        let takes_redirect = term.scheduler.borrow_mut().takes_redirect();
+        let takes_redirect = term.scheduler.borrow_mut().take_redirect();
         takes_redirect
             .then(|| self.membership.peer_in_zone(&heartbeat.zone))
             .flatten()
--- a/src/scheduler/failure_detection/controllers.rs
+++ b/src/scheduler/failure_detection/controllers.rs
@@ -1,26 +1,26 @@
-//! Which of the other controllers are reachable, and which were not lately.
+//! Reachability of the other controllers, at present and in the recent past.
 
 use super::super::ControllerStatus;
-use super::{CONTACT_DELAY, Machine, Micros, PARTITION_LINGER, Timeouts};
+use super::{CONTACT_DELAY, Machine, Micros, PARTITION_HOLD_DOWN, Timeouts};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The other controllers, as seen from this one.
+/// The reachability of the other controllers from this one.
 ///
-/// Invariants: `stable_since` is none while any controller is unreachable. What is dated counts for
-/// [`PARTITION_LINGER`] after it was last so, `last_contacts` excepted, of which only the newest matters.
+/// Invariants: `stable_since` is `None` while any controller is unreachable. An entry with a time expires
+/// [`PARTITION_HOLD_DOWN`] after that time, except for those of `last_contacts`, which are only ever replaced.
 #[derive(Debug, Default)]
 pub(super) struct ControllerReachability {
-    /// Since when all controllers have been reachable, from here and from each other.
+    /// Time since which all controllers have been reachable from this one and from each other.
     stable_since: Option<Micros>,
-    /// Controllers that are or were unreachable, and when they last were.
+    /// Controllers that are or recently were unreachable, with the time when this was last observed.
     unreachable: BTreeMap<String, Micros>,
-    /// Zones with such a controller, and when it last was unreachable.
+    /// Zones of these controllers, with the time when one was last observed as unreachable.
     degraded_zones: BTreeMap<String, Micros>,
-    /// When two controllers or more were last unreachable together.
+    /// Time when two or more controllers were last unreachable at once.
     several_unreachable_at: Option<Micros>,
-    /// Zones of which no controller is reachable now.
+    /// Zones in which there are other controllers, none of which is reachable.
     isolated_zones: BTreeSet<String>,
-    /// When each controller last reported through the state service which machines it hears.
+    /// Time when each controller last reported, through the key-value store, the machines that it is in contact with.
     last_contacts: BTreeMap<String, Micros>,
 }
 
@@ -44,7 +44,7 @@
     }
 
     fn expire(&mut self, now: Micros) {
-        let is_recent = |at: &Micros| now.since(*at) < PARTITION_LINGER;
+        let is_recent = |at: &Micros| now.since(*at) < PARTITION_HOLD_DOWN;
         self.degraded_zones.retain(|_, at| is_recent(at));
         self.unreachable.retain(|_, at| is_recent(at));
         self.several_unreachable_at = self.several_unreachable_at.filter(is_recent);
@@ -54,12 +54,12 @@
         self.last_contacts.insert(node.to_owned(), now);
     }
 
-    /// Since when all controllers have been reachable; none while one is not.
+    /// Returns the time since which all controllers have been reachable, or `None` if one is not.
     pub(super) fn stable_since(&self) -> Option<Micros> {
         self.stable_since
     }
 
-    /// Another controller sees a partition that this one does not.
+    /// Records that another controller observes a partition that this one does not.
     pub(super) fn reset_stability(&mut self) {
         self.stable_since = None;
     }
@@ -68,28 +68,29 @@
         self.stable_since.is_some_and(|t| now.since(t) > period)
     }
 
-    /// Whether no controller of a zone is reachable now.
+    /// Returns whether a zone has other controllers, none of which is reachable.
     pub(super) fn is_zone_isolated(&self, zone: &str) -> bool {
         self.isolated_zones.contains(zone)
     }
 
-    /// Whether any controller is or was lately unreachable.
-    pub(super) fn any_unreachable(&self) -> bool {
+    /// Returns whether any controller is or recently was unreachable.
+    pub(super) fn any_recently_unreachable(&self) -> bool {
         !self.unreachable.is_empty()
     }
 
-    /// Whether a machine's worker may have to try more than one controller before one answers.
-    pub(super) fn impairs(&self, m: &Machine) -> bool {
+    /// Returns whether a machine's worker may have to try more than one controller to get an answer.
+    pub(super) fn is_path_impaired(&self, m: &Machine) -> bool {
         self.several_unreachable_at.is_some()
             || self.degraded_zones.contains_key(&m.zone)
             || self.unreachable.contains_key(&m.via)
     }
 
-    /// Whether a machine is silent because the controller that it reports to is: that one keeps its lease alive, and
-    /// the machine list shows if it fails all the same.
+    /// Returns whether a machine's heartbeats can't arrive because its controller, or every controller in its zone, is
+    /// unreachable.
     ///
-    /// Guards against terminating what runs well behind a partition, or with a controller that lost everything but its
-    /// workers.
+    /// That controller still renews the worker's lease, and the machine list shows whether the machine fails meanwhile.
+    /// Without this, machines would be terminated that run behind a partition, or whose controller has lost contact
+    /// with everything but its workers.
     pub(super) fn is_partitioned(&self, m: &Machine, timeouts: Timeouts, now: Micros) -> bool {
         let is_unreachable_now = |node: &str| {
             let at = self.unreachable.get(node);
--- a/src/scheduler/failure_detection/loss.rs
+++ b/src/scheduler/failure_detection/loss.rs
@@ -1,33 +1,33 @@
-//! Why machines were lost, and what is remembered and logged of it.
+//! Causes of machine losses, the record of recent failures and the log events for lost machines.
 
 use super::{Machine, MachineId, Micros, Scheduler};
 use crate::scheduler::events::SchedulerEvent;
 use std::collections::VecDeque;
 use std::fmt;
 
-/// How long a machine that failed by its silence counts as suspected, so that a partition is not terminated piece by
-/// piece.
-const FAILURE_LINGER: Micros = Micros::secs(30);
-/// Machines lost together that are named in one line of the log.
+/// How long a machine that failed for lack of contact still counts as suspected. Without this, the machines behind a
+/// partition would be terminated in small groups, each below the partition threshold.
+const RECENT_FAILURE_WINDOW: Micros = Micros::secs(30);
+/// Maximum number of machines named in one log line.
 const MACHINES_PER_LINE: usize = 25;
 
 /// Why a machine was lost.
 ///
-/// Losses are logged in the order of these.
+/// Losses found at the same time are logged in the order of these variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LossCause {
-    /// Its heartbeats arrive, but it acknowledges no answer.
+    /// Its heartbeats arrive, but they acknowledge none of the leader's answers.
     InboundUnreachable,
-    /// The cloud reports it gone or failed.
+    /// The cloud's machine list shows it as failed or no longer has it.
     Gone,
-    /// No heartbeat came within its grace period.
+    /// There was no contact with it within its grace period.
     HeartbeatTimeout,
-    /// It did not come up in time.
+    /// It did not become ready within its provisioning timeout.
     ProvisioningTimeout,
 }
 
 impl fmt::Display for LossCause {
-    /// The words of the log, which operators' filters know.
+    /// Writes the value of the log key `why`, which operators' log filters match.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             LossCause::InboundUnreachable => "deaf",
@@ -38,7 +38,7 @@
     }
 }
 
-/// Machines that failed lately by their silence, the oldest first.
+/// Machines that recently failed for lack of contact, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct RecentFailures(VecDeque<RecentFailure>);
 
@@ -50,14 +50,14 @@
 }
 
 impl RecentFailures {
-    /// Drops those that count no longer.
+    /// Removes failures older than [`RECENT_FAILURE_WINDOW`].
     pub(super) fn expire(&mut self, now: Micros) {
         self.0
-            .retain(|failure| now.since(failure.at) < FAILURE_LINGER);
+            .retain(|failure| now.since(failure.at) < RECENT_FAILURE_WINDOW);
     }
 
-    /// Remembers a machine if it failed by its silence. Returns the cause, which is more precise for one that sends
-    /// heartbeats and hears nothing.
+    /// Records the failure of a machine if its cause is a heartbeat timeout. Returns the cause, refined to
+    /// [`LossCause::InboundUnreachable`] if its heartbeats still arrive but acknowledge no answers.
     pub(super) fn record(&mut self, m: &Machine, cause: LossCause, now: Micros) -> LossCause {
         if cause != LossCause::HeartbeatTimeout {
             return cause;
@@ -74,14 +74,14 @@
         }
     }
 
-    /// The zone of each, and whether it was a spot machine.
+    /// Returns the zone of each failed machine, and whether it was a spot machine.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&str, bool)> {
         self.0.iter().map(|f| (f.zone.as_str(), f.spot))
     }
 }
 
 impl Scheduler {
-    /// Logs what was lost: a few machines in a line each, many together in lines that still name all.
+    /// Logs the loss of machines of one cause, zone and kind, in lines of at most [`MACHINES_PER_LINE`] machines.
     pub(super) fn report_lost(
         &mut self,
         cause: LossCause,
@@ -90,16 +90,18 @@
         machines: &[MachineId],
         now: Micros,
     ) {
-        for some in machines.chunks(MACHINES_PER_LINE) {
-            let known = || some.iter().filter_map(|id| self.machines.get(id));
-            let quiet = known().map(|m| now.since(m.last_contact)).max();
+        for batch in machines.chunks(MACHINES_PER_LINE) {
+            let batch_machines = || batch.iter().filter_map(|id| self.machines.get(id));
+            let longest_silence = batch_machines().map(|m| now.since(m.last_contact)).max();
             let event = SchedulerEvent::MachinesLost {
-                machines: some.to_vec(),
+                machines: batch.to_vec(),
                 cause,
                 zone: zone.to_owned(),
                 spot,
-                quiet: quiet.unwrap_or_default(),
-                tasks: known().flat_map(|m| m.reserved.keys().cloned()).collect(),
+                quiet: longest_silence.unwrap_or_default(),
+                tasks: batch_machines()
+                    .flat_map(|m| m.reserved.keys().cloned())
+                    .collect(),
             };
             self.events.push(event);
         }
--- a/src/scheduler/failure_detection/mod.rs
+++ b/src/scheduler/failure_detection/mod.rs
@@ -1,24 +1,26 @@
-//! The failure detector: which machines have failed, and which are alive but out of reach.
+//! The failure detector, which tells failed machines from machines that are alive but unreachable.
 //!
-//! A machine that misses heartbeats has failed, or its heartbeats can't arrive. The two look alike from here, and the
-//! wrong answer is costly both ways: a failed machine holds its tasks up, a live one that is terminated loses them.
+//! A machine that misses heartbeats either has failed or is cut off by a partition. The leader can't observe the
+//! difference directly, and both errors are costly: the tasks of an undetected failed machine make no progress, and
+//! terminating a live machine loses the tasks on it.
 //!
-//! - **Heartbeat timeout**: the age of the last heartbeat from which a machine is *unreachable*. It gets no offers, and
-//!   what was not sent to it yet is placed elsewhere. Nothing else follows from it.
-//! - **Path** (controller, zone): the route of a heartbeat, from the machine's zone through the controller that passes it
-//!   on. A path is *stopped* when none of its machines is heard, though many used to be.
-//! - **Grace period**: how long a machine may be quiet before it is *suspected*. It is longer while a controller, a zone
-//!   or a path is in trouble, as a worker needs time to find another controller.
-//! - **Partition**: when much of a zone, or of a controller's workers, is suspected together, or while the controller
-//!   of a machine is unreachable itself, suspicion is *suppressed* or waits until the workers' leases have ended.
+//! - **Heartbeat timeout**: a machine whose last heartbeat is older than this is *unreachable*. It gets no offers, and
+//!   placements whose start command was not sent yet are moved elsewhere. It is not terminated for this alone.
+//! - **Path** (controller, zone): the route of a heartbeat from a machine's zone through the controller that forwards
+//!   it. A path is *stopped* when no heartbeat has arrived from any of its machines for several mean arrival intervals.
+//! - **Grace period**: how long a machine may be without contact before it is *suspected*. It is longer while a
+//!   controller, zone or path is impaired, because workers need time to reconnect to another controller.
+//! - **Partition**: many machines of a zone or of a controller are suspected at the same time, or the controller of a
+//!   machine is itself unreachable. Suspicion is then *suppressed*, or termination waits for the workers' leases to
+//!   end.
 //! - **Failure**: a suspicion that no partition explains. The machine is terminated.
 //!
 //! Invariants:
 //!
-//! - The detector never frees a task. It names machines to terminate; their tasks run elsewhere only once the cloud has
-//!   confirmed the termination.
-//! - It reads no clock: every observation carries its time, and each expires by itself.
-//! - It never changes a machine, except for the time of its last suppressed suspicion.
+//! - The detector never releases a task. It selects machines to terminate; their tasks run elsewhere only after the
+//!   cloud has confirmed the termination.
+//! - It reads no clock: every observation is passed the current time and expires on its own.
+//! - It never modifies a machine, except for the time at which suspicion of it was last suppressed.
 
 mod controllers;
 mod loss;
@@ -37,26 +39,27 @@
 use paths::HeartbeatPaths;
 use std::collections::BTreeMap;
 
-/// How long a worker waits for an answer, and then before it tries the next controller.
+/// Time in which a worker gives up on a controller that does not answer and tries the next one.
 const WORKER_RECONNECT: Micros = Micros::secs(5);
-/// How long another controller may need to report that it hears a machine.
+/// Maximum time until another controller has reported its contact with a machine to the leader.
 const CONTACT_DELAY: Micros = Micros::secs(2);
-/// How long the trouble of a controller or of a path counts after it ended: workers need a while to come back.
-const PARTITION_LINGER: Micros = Micros::secs(10);
-/// A machine whose heartbeat is late by this is unreachable.
+/// How long a controller or path still counts as impaired after it has recovered: workers need time to reconnect.
+const PARTITION_HOLD_DOWN: Micros = Micros::secs(10);
+/// Part of the heartbeat timeout that is added to 5/4 of the heartbeat interval.
 const HEARTBEAT_SLACK: Micros = Micros::secs(1);
 
 type Machines = BTreeMap<MachineId, Machine>;
 
-/// The timeouts that follow from the settings.
+/// Timeouts derived from the scheduler's configuration.
 #[derive(Debug, Clone, Copy)]
 struct Timeouts {
     heartbeat_interval: Micros,
-    /// From this age of its last heartbeat a machine is unreachable.
+    /// Heartbeat timeout: a machine whose last heartbeat is older than this is unreachable.
     heartbeat: Micros,
-    /// By then a worker that tried two controllers in vain has reached a third.
+    /// Time since the last contact by which a worker that failed to reach two controllers has reached a third.
     two_reconnects: Micros,
-    /// By then the lease of a worker that hears nobody has ended, with its tasks.
+    /// Time since the last contact by which the lease of a worker that gets no answers has expired, and its tasks are
+    /// stopped.
     lease_expiry: Micros,
 }
 
@@ -72,33 +75,34 @@
     }
 }
 
-/// What the leader observed of controllers, paths and failures.
+/// The leader's observations of controllers, heartbeat paths and recent machine failures.
 #[derive(Debug, Default)]
 pub(super) struct FailureDetector {
     controllers: ControllerReachability,
     paths: HeartbeatPaths,
     recent_failures: RecentFailures,
-    /// How many workers this controller may still redirect to another until the next fleet plan.
+    /// Number of workers that this controller may still redirect to other controllers before the next fleet plan.
     redirect_budget: usize,
 }
 
 impl FailureDetector {
-    /// Whether all controllers have been well at the last look.
+    /// Returns whether all controllers were reachable from each other at the last observation.
     pub(super) fn is_stable(&self) -> bool {
         self.controllers.stable_since().is_some()
     }
 
-    /// A controller reported through the state service which machines it hears.
+    /// Records that a controller has reported, through the key-value store, the machines that it is in contact with.
     pub(super) fn observe_contacts(&mut self, node: &str, now: Micros) {
         self.controllers.observe_contacts(node, now);
     }
 
-    /// Whether nothing is heard of a zone, so that commands would not get to a machine provisioned there either.
+    /// Returns whether a zone is cut off from this controller, in which case commands would not reach a machine
+    /// provisioned there.
     pub(super) fn is_zone_unreachable(&self, zone: &str) -> bool {
         self.paths.is_zone_unreachable(zone) || self.controllers.is_zone_isolated(zone)
     }
 
-    /// Returns the machines that have failed by their silence, in the order of their ids.
+    /// Returns the machines that count as failed for lack of contact, in the order of their ids.
     fn detect_failures(
         &mut self,
         machines: &mut Machines,
@@ -114,42 +118,46 @@
 }
 
 impl Scheduler {
-    /// Takes in which of the other controllers answer this one now. While all answer, workers have no reason to look for
-    /// another.
+    /// Records which of the other controllers are reachable. While all are, workers have no reason to switch
+    /// controllers.
     pub fn set_controllers(&mut self, controllers: &[ControllerStatus], now: Micros) {
         self.failure_detector.controllers.observe(controllers, now);
     }
 
-    /// Another controller can't reach one that answers here: workers beyond that partition look for another as well.
+    /// Restarts the time for which all controllers have been reachable.
+    ///
+    /// Called when another controller can't reach a controller that is reachable from this one: workers affected by
+    /// that partition switch controllers too.
     pub fn reset_stability(&mut self) {
         self.failure_detector.controllers.reset_stability();
     }
 
-    /// Whether a worker that just sent its heartbeat here should send the next to another controller.
-    pub fn takes_redirect(&mut self) -> bool {
+    /// Returns whether a worker that has just sent a heartbeat to this controller should be redirected to another one,
+    /// and if so takes it from the number of redirects allowed before the next fleet plan.
+    pub fn take_redirect(&mut self) -> bool {
         self.failure_detector.take_redirect()
     }
 
-    /// Renews the number of workers that may be redirected until the next fleet plan.
+    /// Sets the number of workers that may be redirected before the next fleet plan.
     pub(super) fn plan_redirects(&mut self, now: Micros) {
         self.failure_detector
             .plan_redirects(&self.machines, &self.config, now);
     }
 
-    /// Takes unreachable machines out of the offers; what was not sent to them yet goes elsewhere.
+    /// Stops offers to machines past the heartbeat timeout, and requeues their placements whose start was not sent yet.
     ///
-    /// Guards against tasks that wait behind a partition, on machines that only another controller hears, while others
-    /// have free resources.
+    /// Without this, tasks would wait on machines behind a partition, in contact with another controller only, while
+    /// reachable machines have free resources.
     pub(super) fn mark_unreachable(&mut self, now: Micros) {
         let timeout = Timeouts::new(&self.config).heartbeat;
-        let mut stranded = Vec::new();
+        let mut affected_tasks = Vec::new();
         for m in self.machines.values_mut() {
             if m.is_reachable && now.since(m.reported_at) > timeout {
                 m.is_reachable = false;
-                stranded.extend(m.reserved.keys().cloned());
+                affected_tasks.extend(m.reserved.keys().cloned());
             }
         }
-        for task in stranded {
+        for task in affected_tasks {
             let job = self.jobs.get(&task.job);
             let p = job.and_then(|j| j.placement(task.index));
             if p.is_some_and(|p| !p.inherited && p.sent.is_none()) {
@@ -159,14 +167,14 @@
         }
     }
 
-    /// Terminates machines that failed, as only then their tasks may run elsewhere.
+    /// Marks failed machines for termination. Their tasks may run elsewhere only after the machines are terminated.
     pub(super) fn terminate_lost(&mut self, now: Micros) {
         self.count_steps(self.machines.len());
         let slow_zones = self
             .provisioning_times
             .update(&self.machines, &self.machine_types, now);
         self.events.extend(slow_zones);
-        let mut failed = self.failed_by_list_or_provisioning(now);
+        let mut failed = self.gone_or_provisioning_timed_out(now);
         let timed_out =
             self.failure_detector
                 .detect_failures(&mut self.machines, &self.config, now);
@@ -194,8 +202,8 @@
         }
     }
 
-    /// The machines that the cloud reports gone, or that did not come up in time.
-    fn failed_by_list_or_provisioning(&self, now: Micros) -> Vec<(MachineId, LossCause)> {
+    /// Returns the machines that the cloud reports as gone or failed, and those past their provisioning timeout.
+    fn gone_or_provisioning_timed_out(&self, now: Micros) -> Vec<(MachineId, LossCause)> {
         let types = &self.machine_types;
         let mut failed = Vec::new();
         for (id, m) in &self.machines {
@@ -211,21 +219,23 @@
         failed
     }
 
-    /// The leader's process was paused for so long: silence from before that is its own.
+    /// Discounts a pause of the leader's own process, during which it could not receive heartbeats.
     ///
-    /// Guards against a leader that was paused for much of its workers' leases and still leads, as it may after an outage
-    /// of the state service: it would terminate the whole fleet for a silence in which it heard nothing.
+    /// Without this, a leader that was paused for much of its workers' leases and is still the leader, as can happen
+    /// after an outage of the key-value store, would time out and terminate the whole fleet.
     ///
-    /// A short pause only moves what was heard along, so that a leader that is slow all the time still detects failures.
-    pub fn on_process_pause(&mut self, gap: Micros, now: Micros) {
-        let long = gap >= self.config.heartbeat_interval;
+    /// After a pause of a heartbeat interval or more, suspicion of every machine is suppressed once. After a shorter
+    /// one, the contact times are only moved forward by its length, so that a leader with frequent short pauses still
+    /// detects failures.
+    pub fn on_process_pause(&mut self, pause: Micros, now: Micros) {
+        let is_long = pause >= self.config.heartbeat_interval;
         for m in self.machines.values_mut() {
-            if long {
+            if is_long {
                 m.suspicion_suppressed_at = now;
                 m.reported_at = now;
             } else {
-                m.last_contact = now.min(m.last_contact + gap);
-                m.reported_at = now.min(m.reported_at + gap);
+                m.last_contact = now.min(m.last_contact + pause);
+                m.reported_at = now.min(m.reported_at + pause);
             }
         }
     }
--- a/src/scheduler/failure_detection/paths.rs
+++ b/src/scheduler/failure_detection/paths.rs
@@ -1,21 +1,25 @@
-//! The paths of heartbeats, from a zone through a controller, and which of them are stopped.
+//! Heartbeat paths, from a zone through a controller, and detection of those that have stopped.
 
-use super::{Machine, Machines, Micros, PARTITION_LINGER, Timeouts};
+use super::{Machine, Machines, Micros, PARTITION_HOLD_DOWN, Timeouts};
 use std::collections::BTreeMap;
 
-/// A path on which no heartbeat came for this, and for so many of its usual gaps, is stopped.
+/// A path is stopped when no heartbeat has arrived on it for longer than the sum of this and
+/// [`STOPPED_AFTER_ARRIVALS`] mean times between its heartbeats.
 const STOPPED_AFTER: Micros = Micros::secs(1);
-const STOPPED_AFTER_GAPS: u64 = 8;
-/// A zone that is unreachable counts as such for this, though no machine is left there that could be heard.
-const UNREACHABLE_LINGER: Micros = Micros::secs(30);
+/// Mean times between the heartbeats of a path that are added to [`STOPPED_AFTER`].
+const STOPPED_AFTER_ARRIVALS: u64 = 8;
+/// How long a zone still counts as unreachable when no monitored machine is left in it.
+const ZONE_HOLD_DOWN: Micros = Micros::secs(30);
 
-/// Stopped paths and unreachable zones, now or lately.
+/// Paths that are or recently were stopped, and zones that are or recently were unreachable.
 ///
-/// A zone is unreachable when the heartbeats of all its machines are overdue, on whatever path.
+/// A zone is unreachable when the last heartbeat of each of its machines, on any path, is older than the heartbeat
+/// timeout.
 #[derive(Debug, Default)]
 pub(super) struct HeartbeatPaths {
-    /// By controller, then the zone of the machines; when the path was last stopped.
+    /// Time when each path was last observed as stopped, by controller and then by zone of the machines.
     stopped: BTreeMap<String, BTreeMap<String, Micros>>,
+    /// Time when each zone was last observed as unreachable.
     unreachable_zones: BTreeMap<String, Micros>,
 }
 
@@ -25,39 +29,40 @@
         self.observe_zones(machines, timeouts, now);
     }
 
-    /// Finds the paths on which no heartbeat comes any more, though many used to.
+    /// Detects stopped paths from the time of the newest heartbeat on each path.
     ///
-    /// Guards against what terminated 235 live machines within two seconds: a leader that held most of a large fleet's
-    /// workers lost them all at once, and a quarter of them was past its grace period before the quarter stood out.
+    /// Without this, a path failure that cuts off most workers of a large fleet at once is detected too late: a leader
+    /// terminated 235 live machines within two seconds, because the first quarter of them to exceed their grace period
+    /// still counted as separate failures.
     fn observe_paths(&mut self, machines: &Machines, timeouts: Timeouts, now: Micros) {
         let mut paths: BTreeMap<(&str, &str), (u64, Micros)> = BTreeMap::new();
-        for m in machines.values().filter(|m| m.is_counted()) {
+        for m in machines.values().filter(|m| m.is_monitored()) {
             let (workers, last) = paths.entry((&m.via, &m.zone)).or_default();
             *workers += 1;
             *last = m.reported_at.max(*last);
         }
         for ((controller, zone), (workers, last)) in paths {
-            let gaps = timeouts
+            let arrival_time = timeouts
                 .heartbeat_interval
-                .scaled(STOPPED_AFTER_GAPS, workers);
-            if now.since(last) > STOPPED_AFTER + gaps {
+                .scaled(STOPPED_AFTER_ARRIVALS, workers);
+            if now.since(last) > STOPPED_AFTER + arrival_time {
                 let zones = self.stopped.entry(controller.to_owned()).or_default();
                 zones.insert(zone.to_owned(), now);
             }
         }
         self.stopped.retain(|_, zones| {
-            zones.retain(|_, at| now.since(*at) < PARTITION_LINGER);
+            zones.retain(|_, at| now.since(*at) < PARTITION_HOLD_DOWN);
             !zones.is_empty()
         });
     }
 
-    /// Finds the zones of which no machine is heard any more.
+    /// Detects the zones from which no heartbeat arrives.
     ///
-    /// Guards against machines provisioned behind a partition, of all zones, as those there were terminated and it has
-    /// the fewest now.
+    /// Without this, machines would be provisioned behind a partition: the zone there has the fewest machines once its
+    /// machines have been terminated, which makes it the preferred one among equally priced pools.
     fn observe_zones(&mut self, machines: &Machines, timeouts: Timeouts, now: Micros) {
         let mut last_heartbeats: BTreeMap<&str, Micros> = BTreeMap::new();
-        for m in machines.values().filter(|m| m.is_counted()) {
+        for m in machines.values().filter(|m| m.is_monitored()) {
             let last = last_heartbeats.entry(&m.zone).or_default();
             *last = m.reported_at.max(*last);
         }
@@ -69,21 +74,21 @@
             }
         }
         self.unreachable_zones
-            .retain(|_, at| now.since(*at) < UNREACHABLE_LINGER);
+            .retain(|_, at| now.since(*at) < ZONE_HOLD_DOWN);
     }
 
-    /// Whether the path of a machine's heartbeats is or was lately stopped.
+    /// Returns whether the path of a machine's heartbeats is or recently was stopped.
     pub(super) fn is_stopped(&self, m: &Machine) -> bool {
         let zones = self.stopped.get(&m.via);
         zones.is_some_and(|zones| zones.contains_key(&m.zone))
     }
 
-    /// Whether a zone is or was lately unreachable.
+    /// Returns whether a zone is or recently was unreachable.
     pub(super) fn is_zone_unreachable(&self, zone: &str) -> bool {
         self.unreachable_zones.contains_key(zone)
     }
 
-    /// Whether a zone was found unreachable at this very time.
+    /// Returns whether the observation made at time `now` found a zone unreachable.
     pub(super) fn is_zone_unreachable_at(&self, zone: &str, now: Micros) -> bool {
         self.unreachable_zones.get(zone) == Some(&now)
     }
--- a/src/scheduler/failure_detection/rebalancing.rs
+++ b/src/scheduler/failure_detection/rebalancing.rs
@@ -1,14 +1,14 @@
-//! Workers sent from an overloaded controller to others, once no controller is missed.
+//! Rebalancing of workers from an overloaded controller to the others while all controllers are reachable.
 
 use super::{FailureDetector, Machines, Micros, SchedulerConfig};
 
-/// All controllers must have been reachable for so long before workers are redirected.
+/// How long all controllers must have been reachable before workers are redirected.
 const REBALANCE_AFTER: Micros = Micros::secs(20);
-/// One in so many surplus workers is redirected in one fleet plan.
+/// Number of surplus workers for each worker that is redirected per fleet plan.
 const SURPLUS_PER_REDIRECT: usize = 10;
 
 impl FailureDetector {
-    /// Sets how many of the workers that send heartbeats to this controller itself may go to another.
+    /// Sets the number of workers, of those that send heartbeats to this controller directly, that may be redirected.
     pub(super) fn plan_redirects(
         &mut self,
         machines: &Machines,
@@ -16,33 +16,34 @@
         now: Micros,
     ) {
         self.redirect_budget = if self.controllers.is_stable_for(REBALANCE_AFTER, now) {
-            redirects_wanted(machines, config.controllers)
+            redirects_for_surplus(machines, config.controllers)
         } else {
             0
         };
     }
 
-    /// Uses up one redirect, if any is left.
+    /// Takes one redirect from the budget. Returns whether there was one.
     pub(super) fn take_redirect(&mut self) -> bool {
-        let is_left = self.redirect_budget > 0;
-        self.redirect_budget -= usize::from(is_left);
-        is_left
+        let has_budget = self.redirect_budget > 0;
+        self.redirect_budget -= usize::from(has_budget);
+        has_budget
     }
 }
 
-/// Returns a part of the workers that this controller has beyond twice its share.
+/// Returns how many workers to redirect: one in [`SURPLUS_PER_REDIRECT`] of those beyond twice this controller's share.
 ///
-/// Guards against a leader that keeps every worker of a large fleet after a filter between controllers: it would carry
-/// all the work, and all would have to find another controller at once when it fails.
-fn redirects_wanted(machines: &Machines, controllers: usize) -> usize {
+/// Without this, the leader would keep every worker of a large fleet after a partition between the controllers. It
+/// would handle all heartbeats, and all workers would have to find another controller at once when it fails.
+fn redirects_for_surplus(machines: &Machines, controllers: usize) -> usize {
     if controllers < 2 {
         return 0;
     }
-    let own = machines
+    let own_workers = machines
         .values()
         .filter(|m| m.is_reachable && m.via.is_empty());
     let max_own = machines.len() * 2 / controllers;
-    own.count()
+    own_workers
+        .count()
         .saturating_sub(max_own)
         .div_ceil(SURPLUS_PER_REDIRECT)
 }
--- a/src/scheduler/failure_detection/suspicion.rs
+++ b/src/scheduler/failure_detection/suspicion.rs
@@ -1,4 +1,5 @@
-//! From silence to suspicion to failure: grace periods, and partitions that explain the silence of many.
+//! Suspicion of machines after their grace period, and the decision whether a suspect has failed or is behind a
+//! partition.
 
 use super::controllers::ControllerReachability;
 use super::{
@@ -7,14 +8,15 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Fewer machines of an unreachable zone than this may each have failed by itself.
-const MIN_PARTITION: usize = 8;
-/// Until it is seen that a controller does not answer; sooner a failed machine can't be told from a stopped path.
-const CONTROLLER_DETECTION: Micros = Micros::secs(2);
-/// How long suspicion is suppressed behind a partition; the machine list shows sooner if a machine failed.
+/// Minimum number of machines in an unreachable zone for which a partition is assumed rather than separate failures.
+const MIN_PARTITION_MACHINES: usize = 8;
+/// Time to detect an unreachable controller. Before that, a failed machine can't be told from a stopped path.
+const CONTROLLER_DETECTION_TIME: Micros = Micros::secs(2);
+/// Maximum time since the last contact for which suspicion is suppressed because of a partition. A machine that fails
+/// in this time is detected by the machine list.
 const MAX_SUPPRESSION: Micros = Micros::secs(180);
 
-/// Suppresses the suspicion of machines that can't be heard, because their controller can't.
+/// Suppresses suspicion of machines whose heartbeats can't arrive because their controller is unreachable.
 pub(super) fn suppress_partitioned(
     controllers: &ControllerReachability,
     machines: &mut Machines,
@@ -30,10 +32,11 @@
     }
 }
 
-/// Returns the machines quiet for so long that they count as failed.
+/// Returns the suspects that count as failed.
 ///
-/// Guards against taking a partition, or a controller's own trouble, for failures: when much of a zone, or of all, falls
-/// silent together, it is terminated only once the workers' leases have ended; a wave of preempted spot machines excepted.
+/// Without these conditions, a partition or an impaired controller would be mistaken for machine failures. When many
+/// machines of a zone or of the fleet are suspected at once, they are terminated only after the workers' leases have
+/// expired, except for spot machines that the cloud has preempted in large numbers.
 pub(super) fn failed_machines(
     detector: &FailureDetector,
     machines: &Machines,
@@ -48,17 +51,17 @@
             && suspects.contains(id)
             && (tally.is_explained_by_failures(m, detector, now)
                 || m.notice.is_some_and(|t| t < now)
-                || grace.quiet(m) > timeouts.lease_expiry.max(timeouts.two_reconnects))
+                || grace.time_since_contact(m) > timeouts.lease_expiry.max(timeouts.two_reconnects))
     };
     let failed = machines.iter().filter(has_failed);
     failed.map(|(id, _)| id.clone()).collect()
 }
 
-/// How long each machine may be quiet.
+/// The inputs from which each machine's grace period is computed.
 struct GracePeriods<'a> {
     detector: &'a FailureDetector,
     timeouts: Timeouts,
-    /// Whether all controllers have been reachable for so long that every worker has found one.
+    /// Whether all controllers have been reachable for long enough that every worker has reconnected.
     is_stable: bool,
     now: Micros,
 }
@@ -74,60 +77,64 @@
         }
     }
 
-    /// How long a machine has been quiet. Once a partition has ended, workers need as long as ever to be heard.
-    fn quiet(&self, m: &Machine) -> Micros {
+    /// Returns the time since the last contact with a machine, or since suspicion of it was last suppressed if that is
+    /// later: after a partition has ended, workers get a full grace period to make contact.
+    fn time_since_contact(&self, m: &Machine) -> Micros {
         self.now
             .since(m.last_contact.max(m.suspicion_suppressed_at))
     }
 
-    /// How long a machine may be quiet.
+    /// Returns how long a machine may be without contact before it is suspected.
     ///
-    /// A worker whose controller is unreachable needs a while to find another one; where the path to its zone, or to two
-    /// controllers, is broken it may have to try two in vain.
+    /// A worker whose controller is unreachable needs time to reconnect to another one. If the path from its zone is
+    /// stopped, or two controllers are unreachable, it may have to try two controllers before it reaches a third.
     fn grace_period(&self, m: &Machine) -> Micros {
         let t = &self.timeouts;
         let controllers = &self.detector.controllers;
-        // Guards against what terminated 157 live machines: a new leader does not know through whom it would hear those
-        // that it never heard, and a controller that lost all but its workers needs most of their lease to hand them on.
-        let is_path_unknown = m.newest.is_none() && controllers.any_unreachable();
+        // Without this, a new leader terminated 157 live machines: it does not know the path of a machine that has not
+        // sent it a heartbeat, and a controller that has lost contact with everything but its workers takes most of
+        // their lease to redirect them.
+        let is_path_unknown = m.newest.is_none() && controllers.any_recently_unreachable();
         if is_path_unknown {
             t.lease_expiry.max(t.two_reconnects)
-        } else if self.detector.paths.is_stopped(m) || (!self.is_stable && controllers.impairs(m)) {
+        } else if self.detector.paths.is_stopped(m)
+            || (!self.is_stable && controllers.is_path_impaired(m))
+        {
             t.two_reconnects + CONTACT_DELAY
         } else if self.is_stable {
-            t.heartbeat + CONTROLLER_DETECTION
+            t.heartbeat + CONTROLLER_DETECTION_TIME
         } else {
             t.heartbeat + WORKER_RECONNECT + CONTACT_DELAY
         }
     }
 
-    /// The counted machines whose grace period is over.
+    /// Returns the monitored machines whose grace period is over.
     ///
-    /// Many of one controller's workers late together mean that the path through it is impaired, though it answers
-    /// pings: they get the longest grace period of a worker that looks for another controller.
+    /// If many workers of one controller are overdue at once, the path through it is impaired even if it answers pings:
+    /// they get the longest grace period of a worker that reconnects.
     fn suspects<'m>(&self, machines: &'m Machines) -> BTreeSet<&'m MachineId> {
-        let counted = || machines.iter().filter(|(_, m)| m.is_counted());
-        let is_late = |m: &Machine| self.quiet(m) > self.grace_period(m);
+        let monitored = || machines.iter().filter(|(_, m)| m.is_monitored());
+        let is_overdue = |m: &Machine| self.time_since_contact(m) > self.grace_period(m);
         let mut by_controller: BTreeMap<&str, SuspectCount> = BTreeMap::new();
-        for (_, m) in counted() {
+        for (_, m) in monitored() {
             let count = by_controller.entry(&m.via).or_default();
-            count.add(false, is_late(m));
+            count.add(false, is_overdue(m));
         }
-        let longest = self.timeouts.two_reconnects + CONTACT_DELAY;
+        let max_grace_period = self.timeouts.two_reconnects + CONTACT_DELAY;
         let is_suspect = |m: &Machine| {
-            let few = by_controller[m.via.as_str()].are_few(false);
-            is_late(m) && (few || self.quiet(m) > longest)
+            let below_threshold = by_controller[m.via.as_str()].is_below_threshold(false);
+            is_overdue(m) && (below_threshold || self.time_since_contact(m) > max_grace_period)
         };
-        let suspects = counted().filter(|(_, m)| is_suspect(m));
+        let suspects = monitored().filter(|(_, m)| is_suspect(m));
         suspects.map(|(id, _)| id).collect()
     }
 }
 
-/// How many machines there are and how many of them are suspected, those that failed lately included.
+/// Number of machines and number of suspects among them, both including machines that failed recently.
 #[derive(Debug, Default)]
 struct SuspectCount {
     machines: usize,
-    /// Ordinary and spot ones.
+    /// Suspected on-demand machines, then suspected spot machines.
     suspected: [usize; 2],
 }
 
@@ -137,13 +144,14 @@
         self.suspected[usize::from(spot)] += usize::from(suspected);
     }
 
-    /// Whether so few of the kind are suspected that each may have failed by itself.
-    fn are_few(&self, spot: bool) -> bool {
+    /// Returns whether the suspects of a kind (spot or on-demand) are few enough to be separate failures: at most a
+    /// quarter of all machines, or two if that is more.
+    fn is_below_threshold(&self, spot: bool) -> bool {
         self.suspected[usize::from(spot)] <= (self.machines / 4).max(2)
     }
 }
 
-/// Suspected machines of each zone and of all.
+/// Counts of machines and suspects, by zone and in total.
 struct SuspectTally<'a> {
     by_zone: BTreeMap<&'a str, SuspectCount>,
     total: SuspectCount,
@@ -155,15 +163,15 @@
         machines: &'a Machines,
         suspects: &BTreeSet<&MachineId>,
     ) -> SuspectTally<'a> {
-        let counted = machines.iter().filter(|(_, m)| m.is_counted());
-        let counted = counted.map(|(id, m)| (m.zone.as_str(), m.spot, suspects.contains(id)));
+        let monitored = machines.iter().filter(|(_, m)| m.is_monitored());
+        let monitored = monitored.map(|(id, m)| (m.zone.as_str(), m.spot, suspects.contains(id)));
         let failed = detector.recent_failures.iter();
         let failed = failed.map(|(zone, spot)| (zone, spot, true));
         let mut tally = SuspectTally {
             by_zone: BTreeMap::new(),
             total: SuspectCount::default(),
         };
-        for (zone, spot, suspected) in counted.chain(failed) {
+        for (zone, spot, suspected) in monitored.chain(failed) {
             let count = tally.by_zone.entry(zone).or_default();
             count.add(spot, suspected);
             tally.total.add(spot, suspected);
@@ -171,8 +179,8 @@
         tally
     }
 
-    /// Whether a suspect has failed rather than been cut off: few of its kind are suspected, or it is one of a wave of
-    /// spot machines that the cloud preempted.
+    /// Returns whether a suspect counts as failed rather than partitioned: either few machines of its kind are
+    /// suspected, or it is one of many spot machines that the cloud preempted at once.
     fn is_explained_by_failures(
         &self,
         m: &Machine,
@@ -180,11 +188,15 @@
         now: Micros,
     ) -> bool {
         let zone = &self.by_zone[m.zone.as_str()];
-        // Of a zone from which nothing comes the first quarter to be late is no handful of failures.
-        let is_partition =
-            zone.machines >= MIN_PARTITION && detector.paths.is_zone_unreachable_at(&m.zone, now);
-        let few = zone.are_few(m.spot) && self.total.are_few(m.spot) && !is_partition;
-        let is_spot_wave = m.spot && zone.suspected[0] == 0 && self.total.are_few(false);
-        few || is_spot_wave
+        // If no heartbeat arrives from a zone, the first suspects are part of a partition even while they are below
+        // a quarter of the machines.
+        let is_partition = zone.machines >= MIN_PARTITION_MACHINES
+            && detector.paths.is_zone_unreachable_at(&m.zone, now);
+        let are_separate_failures = zone.is_below_threshold(m.spot)
+            && self.total.is_below_threshold(m.spot)
+            && !is_partition;
+        let is_mass_preemption =
+            m.spot && zone.suspected[0] == 0 && self.total.is_below_threshold(false);
+        are_separate_failures || is_mass_preemption
     }
 }
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -239,7 +239,7 @@
     }
 
     /// Whether the failure detector counts it: it is up, or tasks are placed on it.
-    pub fn is_counted(&self) -> bool {
+    pub fn is_monitored(&self) -> bool {
         self.state == MachineState::Ready || !self.reserved.is_empty()
     }
 
--- a/src/scheduler/scenarios/failure_detection.rs
+++ b/src/scheduler/scenarios/failure_detection.rs
@@ -483,7 +483,7 @@
             t.s.set_controllers(&controllers, t.now);
             t.beat_all();
             t.s.plan_fleet(t.now, 0);
-            shed = (0..30).filter(|_| t.s.takes_redirect()).count();
+            shed = (0..30).filter(|_| t.s.take_redirect()).count();
         }
         shed
     };
