--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -172,7 +172,7 @@
     pub(super) fn new(machines: &BTreeMap<MachineId, Machine>, smallest: &Resources) -> Candidates {
         let with_room = machines
             .iter()
-            .filter(|(_, m)| m.takes_offers() && m.free().holds(smallest));
+            .filter(|(_, m)| m.accepts_offers() && m.free().holds(smallest));
         let machines: Vec<Candidate> = with_room.map(|(id, m)| Candidate::new(id, m)).collect();
         Candidates {
             index: Index::new(machines.len()),
--- a/src/scheduler/commands.rs
+++ b/src/scheduler/commands.rs
@@ -69,17 +69,17 @@
         report: HeartbeatPosition,
         now: Micros,
     ) -> Vec<AgentCommand> {
-        let newest = self.machines.get(machine).and_then(|m| m.newest);
+        let newest = self.machines.get(machine).and_then(|m| m.newest_heartbeat);
         if newest == Some(report) {
             self.task_to_move(machine, now);
         }
         let Some(m) = self.machines.get(machine) else {
             return Vec::new();
         };
-        if m.newest != Some(report) {
+        if m.newest_heartbeat != Some(report) {
             return Vec::new();
         }
-        let takes_starts = m.takes_offers();
+        let takes_starts = m.accepts_offers();
         let placed: Vec<TaskId> = m.reserved.keys().cloned().collect();
         let mut answer = Answer::default();
         self.clear_exited(m, &mut answer);
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -201,7 +201,7 @@
     fn open_places(&self, spec: &JobSpec) -> usize {
         self.machines
             .values()
-            .filter(|m| m.takes_offers() && spec.allows(&m.machine_type, &m.zone, m.spot))
+            .filter(|m| m.accepts_offers() && spec.allows(&m.machine_type, &m.zone, m.spot))
             .map(|m| m.free().count_of(&spec.need()).min(1_000))
             .sum()
     }
@@ -209,7 +209,7 @@
     fn targets(&self) -> Targets<'_> {
         self.count_steps(self.machines.len());
         let mut by_image: HashMap<&str, Vec<(&MachineId, &Machine)>> = HashMap::new();
-        let with_room = |m: &Machine| m.takes_offers() && m.free().cores > 0;
+        let with_room = |m: &Machine| m.accepts_offers() && m.free().cores > 0;
         for (id, m) in self.machines.iter().filter(|(_, m)| with_room(m)) {
             for (image, _) in &m.images {
                 by_image.entry(image).or_default().push((id, m));
@@ -260,7 +260,7 @@
         room: &Resources,
         left: &str,
     ) -> bool {
-        m.takes_offers()
+        m.accepts_offers()
             && m.free().holds(room)
             && m.has_image(&job.spec.image)
             && job.allows(&m.machine_type, &m.zone, m.spot)
@@ -281,7 +281,7 @@
         let job = self.movable(&task)?;
         let need = job.spec.need();
         let earliest = self.config.heartbeat_interval.scaled(3, 4);
-        let quiet = |m: &Machine| now.since(m.reported_at);
+        let quiet = |m: &Machine| now.since(m.last_heartbeat_at);
         let in_time = |m: &Machine| {
             quiet(m) + HANDOVER <= earliest
                 && quiet(m) + HANDOVER.scaled(2, 1) >= earliest.scaled(1, 2)
--- a/src/scheduler/failure_detection/loss.rs
+++ b/src/scheduler/failure_detection/loss.rs
@@ -92,13 +92,13 @@
     ) {
         for batch in machines.chunks(MACHINES_PER_LINE) {
             let batch_machines = || batch.iter().filter_map(|id| self.machines.get(id));
-            let longest_silence = batch_machines().map(|m| now.since(m.last_contact)).max();
+            let max_time_since_contact = batch_machines().map(|m| now.since(m.last_contact)).max();
             let event = SchedulerEvent::MachinesLost {
                 machines: batch.to_vec(),
                 cause,
                 zone: zone.to_owned(),
                 spot,
-                quiet: longest_silence.unwrap_or_default(),
+                quiet: max_time_since_contact.unwrap_or_default(),
                 tasks: batch_machines()
                     .flat_map(|m| m.reserved.keys().cloned())
                     .collect(),
--- a/src/scheduler/failure_detection/mod.rs
+++ b/src/scheduler/failure_detection/mod.rs
@@ -152,7 +152,7 @@
         let timeout = Timeouts::new(&self.config).heartbeat;
         let mut affected_tasks = Vec::new();
         for m in self.machines.values_mut() {
-            if m.is_reachable && now.since(m.reported_at) > timeout {
+            if m.is_reachable && now.since(m.last_heartbeat_at) > timeout {
                 m.is_reachable = false;
                 affected_tasks.extend(m.reserved.keys().cloned());
             }
@@ -210,7 +210,7 @@
             if m.state == MachineState::Terminating {
                 continue;
             }
-            if m.lost {
+            if m.is_gone {
                 failed.push((id.clone(), LossCause::Gone));
             } else if self.provisioning_times.is_timed_out(m, types, now) {
                 failed.push((id.clone(), LossCause::ProvisioningTimeout));
@@ -232,10 +232,10 @@
         for m in self.machines.values_mut() {
             if is_long {
                 m.suspicion_suppressed_at = now;
-                m.reported_at = now;
+                m.last_heartbeat_at = now;
             } else {
                 m.last_contact = now.min(m.last_contact + pause);
-                m.reported_at = now.min(m.reported_at + pause);
+                m.last_heartbeat_at = now.min(m.last_heartbeat_at + pause);
             }
         }
     }
--- a/src/scheduler/failure_detection/paths.rs
+++ b/src/scheduler/failure_detection/paths.rs
@@ -39,7 +39,7 @@
         for m in machines.values().filter(|m| m.is_monitored()) {
             let (workers, last) = paths.entry((&m.via, &m.zone)).or_default();
             *workers += 1;
-            *last = m.reported_at.max(*last);
+            *last = m.last_heartbeat_at.max(*last);
         }
         for ((controller, zone), (workers, last)) in paths {
             let arrival_time = timeouts
@@ -64,7 +64,7 @@
         let mut last_heartbeats: BTreeMap<&str, Micros> = BTreeMap::new();
         for m in machines.values().filter(|m| m.is_monitored()) {
             let last = last_heartbeats.entry(&m.zone).or_default();
-            *last = m.reported_at.max(*last);
+            *last = m.last_heartbeat_at.max(*last);
         }
         for (zone, last) in last_heartbeats {
             if now.since(last) > timeouts.heartbeat {
--- a/src/scheduler/failure_detection/suspicion.rs
+++ b/src/scheduler/failure_detection/suspicion.rs
@@ -50,7 +50,7 @@
         m.state != MachineState::Terminating
             && suspects.contains(id)
             && (tally.is_explained_by_failures(m, detector, now)
-                || m.notice.is_some_and(|t| t < now)
+                || m.preemption_at.is_some_and(|t| t < now)
                 || grace.time_since_contact(m) > timeouts.lease_expiry.max(timeouts.two_reconnects))
     };
     let failed = machines.iter().filter(has_failed);
@@ -94,7 +94,8 @@
         // Without this, a new leader terminated 157 live machines: it does not know the path of a machine that has not
         // sent it a heartbeat, and a controller that has lost contact with everything but its workers takes most of
         // their lease to redirect them.
-        let is_path_unknown = m.newest.is_none() && controllers.any_recently_unreachable();
+        let is_path_unknown =
+            m.newest_heartbeat.is_none() && controllers.any_recently_unreachable();
         if is_path_unknown {
             t.lease_expiry.max(t.two_reconnects)
         } else if self.detector.paths.is_stopped(m)
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -79,7 +79,7 @@
         let mut machines = std::mem::take(&mut self.fair_share.machines);
         let starved_jobs: HashSet<&JobId> = starved.iter().collect();
         machines.retain(|id, job| {
-            let takes = self.machines.get(id).is_some_and(Machine::takes_offers);
+            let takes = self.machines.get(id).is_some_and(Machine::accepts_offers);
             takes && starved_jobs.contains(job)
         });
         let mut kept: HashMap<JobId, usize> = HashMap::new();
@@ -132,7 +132,7 @@
             .and_then(|(m, _)| self.machines.get(m))
             .map(|m| &m.zone);
         let fits = |(name, m): &(&MachineId, &Machine)| {
-            m.takes_offers()
+            m.accepts_offers()
                 && m.total.holds(&need)
                 && !kept.contains_key(*name)
                 && !(spec.together && zone.is_some_and(|z| *z != m.zone))
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -154,7 +154,7 @@
             let known = self.machines.contains_key(id);
             self.observe_machine(id, &pool.machine_type, &pool.zone, pool.spot, now);
             if let Some(m) = self.machines.get_mut(id).filter(|_| !known) {
-                m.since = now.since(age);
+                m.provisioned_at = now.since(age);
             }
         }
     }
@@ -249,23 +249,23 @@
                 continue;
             };
             if !known {
-                m.since = asked_at.since(Micros::from_secs_f64(entry.age_s));
+                m.provisioned_at = asked_at.since(Micros::from_secs_f64(entry.age_s));
             }
             m.first_listed_at.get_or_insert(asked_at);
             m.listed_running = entry.status == ListedStatus::Running;
-            if entry.status == ListedStatus::Failed && !m.lost {
-                m.lost = true;
+            if entry.status == ListedStatus::Failed && !m.is_gone {
+                m.is_gone = true;
             }
         }
         for (id, m) in &mut self.machines {
             // A list may be older than the one before it, by twice the lag at most: only what is older than that
             // can be missed for being gone.
-            let old = asked_at.since(m.since) > lag.scaled(3, 1) + Micros::secs(1);
+            let old = asked_at.since(m.provisioned_at) > lag.scaled(3, 1) + Micros::secs(1);
             // Guards against a new leader that counts on what the one before provisioned and terminated, and takes these machines
             // for late boots: those that are there are listed by now.
-            let never_came = m.newest.is_none() && !m.is_provisioned_by_this_term;
+            let never_came = m.newest_heartbeat.is_none() && !m.is_provisioned_by_this_term;
             if (m.first_listed_at.is_some() || never_came) && old && !listed.contains(id) {
-                m.lost = true;
+                m.is_gone = true;
             }
         }
     }
@@ -319,7 +319,7 @@
             let drained = m.state == MachineState::Draining;
             let stale = m.state == MachineState::Ready
                 && now.since(since) >= self.idle_limit(m)
-                && now.since(m.since) >= MIN_CHARGE;
+                && now.since(m.provisioned_at) >= MIN_CHARGE;
             if drained {
                 idle.push(id.clone());
             } else if stale {
@@ -351,7 +351,7 @@
         let boot = self
             .machine_types
             .get(&m.machine_type)
-            .map_or(Micros::ZERO, MachineType::boot);
+            .map_or(Micros::ZERO, MachineType::provisioning_time);
         let kept_ready = self.demand.is_recent_for(m.spot, self.latest);
         self.config
             .idle
@@ -363,7 +363,7 @@
         self.count_steps(self.machines.len());
         self.machines
             .values()
-            .filter(|m| m.takes_offers())
+            .filter(|m| m.accepts_offers())
             .map(|m| self.places_on(m, spec))
             .sum()
     }
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -30,7 +30,10 @@
             });
         }
         self.observe_machine(&r.machine, &r.machine_type, &r.zone, r.spot, now);
-        let newest = self.machines.get(&r.machine).and_then(|m| m.newest);
+        let newest = self
+            .machines
+            .get(&r.machine)
+            .and_then(|m| m.newest_heartbeat);
         if newest.is_some_and(|newest| r.position() <= newest) {
             return HeartbeatOutcome::default();
         }
@@ -59,8 +62,8 @@
         let Some(m) = self.machines.get_mut(&r.machine) else {
             return;
         };
-        m.newest = Some(r.position());
-        m.reported_at = now;
+        m.newest_heartbeat = Some(r.position());
+        m.last_heartbeat_at = now;
         m.is_reachable = true;
         m.expected_effects.clear();
         if m.via != via {
@@ -96,7 +99,7 @@
             machine_type: r.machine_type.clone(),
             zone: r.zone.clone(),
             spot: r.spot,
-            after: now.since(m.since),
+            after: now.since(m.provisioned_at),
         });
     }
 
@@ -105,8 +108,8 @@
         let Some(m) = self.machines.get_mut(&r.machine) else {
             return false;
         };
-        let is_first = r.notice_s.is_some() && m.notice.is_none();
-        m.notice = r.notice_s.map(|s| now + Micros::from_secs_f64(s));
+        let is_first = r.notice_s.is_some() && m.preemption_at.is_none();
+        m.preemption_at = r.notice_s.map(|s| now + Micros::from_secs_f64(s));
         is_first
     }
 
@@ -137,7 +140,7 @@
         let Some(m) = self.machines.get_mut(&r.machine) else {
             return;
         };
-        let Some(newest) = m.newest else {
+        let Some(newest) = m.newest_heartbeat else {
             return;
         };
         let behind = r.token < self.token;
@@ -148,14 +151,17 @@
         let stays = self.config.controllers > 1 && m.via == via;
         if behind || !stays && (ended || acknowledged == Some(false)) {
             m.unacknowledged_heartbeats += 1;
-            m.unacknowledged_at = now;
+            m.last_unacknowledged_at = now;
             if m.is_inbound_unreachable() {
                 self.events.push(SchedulerEvent::HeartbeatUnacknowledged {
                     machine: r.machine.clone(),
                     count: m.unacknowledged_heartbeats,
                 });
             }
-        } else if stays || acknowledged == Some(true) || now.since(m.unacknowledged_at) > window {
+        } else if stays
+            || acknowledged == Some(true)
+            || now.since(m.last_unacknowledged_at) > window
+        {
             // Its lease would have run out by now if none of our answers had arrived.
             m.unacknowledged_heartbeats = 0;
         }
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -1,4 +1,4 @@
-//! A machine in the leader's memory: its resources, the tasks on it and its last contact.
+//! The leader's in-memory state of a machine: its resources, the tasks on it and its contact with the leader.
 
 use super::job_spec::Priority;
 use super::messages::{TaskState, TaskStatusIndex};
@@ -7,111 +7,112 @@
 use ravenhead_recovery::HeartbeatPosition;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// After so many unacknowledged answers in a row a machine takes no more offers.
-const SUSPECT_AFTER: u32 = 2;
-/// After so many its heartbeats are no sign of life.
+/// Number of consecutive unacknowledged answers after which a machine gets no more offers.
+const INBOUND_SUSPECT_AFTER: u32 = 2;
+/// Number of consecutive unacknowledged answers after which a machine's heartbeats no longer show that it is alive.
 const INBOUND_UNREACHABLE_AFTER: u32 = 3;
-/// Maximum of tasks on one machine.
+/// Maximum number of tasks on one machine.
 ///
-/// Guards against a heartbeat that is longer than a body may be: some 140 bytes a task at the most. A machine of which such a
-/// heartbeat was refused would lose its lease with everything on it.
+/// Keeps heartbeats, which take up to about 140 bytes per task, below the maximum length of a request body. A machine
+/// whose heartbeat was rejected for its length would lose its lease, and with it all of its tasks.
 pub(super) const MAX_TASKS_PER_MACHINE: usize = 400;
 
-/// An image's name and its size in GB.
+/// The name of a cached image and its size in GB.
 pub type CachedImage = (String, f64);
 
-/// A machine's place in its life cycle.
+/// A machine's lifecycle state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// Provisioned; its worker has not reported to this leader.
+    /// Provisioned or listed by the cloud; its worker has not yet proved to this leader that it is up.
     Provisioning,
-    /// Its worker reports to this leader.
+    /// Its worker has reported to this leader.
     Ready,
-    /// Takes nothing any more and is terminated once it is empty.
+    /// Gets no more tasks and is terminated once it is empty.
     Draining,
-    /// Being terminated, with whatever is on it.
+    /// To be terminated, together with any tasks on it.
     Terminating,
 }
 
-/// A machine.
+/// The leader's in-memory state of a machine.
 #[derive(Debug, Clone)]
 pub struct Machine {
-    /// Its type.
+    /// Name of its machine type; empty until known.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone in which it runs; empty until known.
     pub zone: String,
-    /// Whether spot.
+    /// Whether it is a spot machine, which the cloud may preempt.
     pub spot: bool,
-    /// All of its resources.
+    /// Total resources of its machine type; zero until the type is known.
     pub total: Resources,
-    /// What placements and unexpected tasks take of it.
+    /// Resources used by placed tasks and by unexpected ones.
     pub used: Resources,
-    /// What placed tasks reserve. Changed by [`Machine::reserve_resources`] and [`Machine::release`] only.
+    /// Resources reserved by each placed task. Changed only by [`Machine::reserve_resources`] and [`Machine::release`].
     pub reserved: BTreeMap<TaskId, Resources>,
-    /// The same by priority.
+    /// Sum of `reserved` by the priority of the tasks.
     reserved_by_priority: BTreeMap<Priority, Resources>,
-    /// Tasks on it that no placement covers, with their attempts.
+    /// Tasks reported by it that have no placement there, with their attempts and resources.
     pub unexpected_tasks: BTreeMap<(TaskId, u64), Resources>,
-    /// Exited tasks in its newest heartbeat, with their attempts, still to be cleared.
+    /// Exited tasks in its newest heartbeat, with their attempts, that the worker has yet to clear.
     pub exited: Vec<(TaskId, u64)>,
-    /// Its place in its life cycle.
+    /// Lifecycle state.
     pub state: MachineState,
-    /// When suspicion was last suppressed because of a partition.
+    /// Time when suspicion of it was last suppressed because of a partition.
     pub suspicion_suppressed_at: Micros,
-    /// When it was provisioned, or first known of.
-    pub since: Micros,
-    /// The newest heartbeat.
-    pub newest: Option<HeartbeatPosition>,
-    /// The last sign of life, here or at another controller; at first, when this leader first knew of the machine.
+    /// Time when it was provisioned, or when this leader first knew of it if the former is not known.
+    pub provisioned_at: Micros,
+    /// Position of its newest heartbeat; `None` until this leader has received one.
+    pub newest_heartbeat: Option<HeartbeatPosition>,
+    /// Time of the last contact with this or another controller; initially, when this leader first knew of the machine.
     pub last_contact: Micros,
-    /// When the cloud will preempt it, once it gave notice.
-    pub notice: Option<Micros>,
-    /// When the machine list first had it.
+    /// Time when the cloud will preempt it; `None` unless the cloud gave notice.
+    pub preemption_at: Option<Micros>,
+    /// Time of the first machine list that contained it.
     pub first_listed_at: Option<Micros>,
-    /// Whether the machine list has it as up.
+    /// Whether the latest machine list that contained it showed it as running.
     pub listed_running: bool,
-    /// Whether the cloud says that it is gone or has failed.
-    pub lost: bool,
-    /// Cached images with their sizes, the least recently used first.
+    /// Whether the cloud's machine list shows it as failed or no longer has it.
+    pub is_gone: bool,
+    /// Cached images with their sizes, least recently used first.
     pub images: Vec<CachedImage>,
-    /// The names of those that were written down for the next leader.
+    /// Names of the cached images that were stored for the next leader.
     pub written_images: BTreeSet<String>,
-    /// Jobs that failed on it with none succeeding since.
+    /// Jobs with tasks that failed on it since a task last succeeded there.
     pub failed_jobs: BTreeSet<JobId>,
-    /// Since when nothing is on it.
+    /// Time since which no tasks are on it.
     pub idle_since: Option<Micros>,
-    /// When its newest heartbeat came.
-    pub reported_at: Micros,
-    /// Whether its heartbeats arrive here, so that commands arrive there; another controller's contact does not suffice.
+    /// Time when this leader received its newest heartbeat.
+    pub last_heartbeat_at: Micros,
+    /// Whether its heartbeats reach this leader, so that commands reach the machine. Contact with another controller is
+    /// not enough.
     pub is_reachable: bool,
     /// Whether its services are being moved to other machines, so that it can be terminated.
     pub consolidating: bool,
-    /// The controller that passed its newest heartbeat on; empty: the leader itself.
+    /// Controller that forwarded its newest heartbeat; empty if it came directly to this leader.
     pub via: String,
-    /// Whether this leader provisioned it, so that no heartbeat of it can be older than this term.
+    /// Whether this leader provisioned it, so that no heartbeat from it can be older than this leader term.
     pub is_provisioned_by_this_term: bool,
-    /// Heartbeats in a row that acknowledge none of the answers before them.
+    /// Number of consecutive heartbeats that do not acknowledge the answers before them.
     pub unacknowledged_heartbeats: u32,
-    /// When one was last counted.
-    pub unacknowledged_at: Micros,
-    /// Commands of the newest answer, whose effect the next heartbeat should show.
+    /// Time when `unacknowledged_heartbeats` was last incremented.
+    pub last_unacknowledged_at: Micros,
+    /// Commands in the newest answer, with their attempts and the effects that the next heartbeat should show.
     pub expected_effects: Vec<(TaskId, u64, ExpectedEffect)>,
 }
 
-/// What a command is to bring about.
+/// The effect that a command should have on a task attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExpectedEffect {
-    /// The attempt is on the machine.
+    /// The machine reports the attempt, in any state.
     Run,
-    /// It does not run any more.
+    /// The attempt has exited, is saving a checkpoint, or is not reported.
     Stop,
-    /// It is not reported any more.
+    /// The attempt is not reported.
     Clear,
 }
 
 impl ExpectedEffect {
-    /// Whether a heartbeat with the attempt in this state, or without it, shows the effect.
-    fn is_shown(self, state: Option<TaskState>) -> bool {
+    /// Returns whether a heartbeat shows the effect. `state` is the state of the attempt in it, `None` if not reported.
+    fn is_confirmed_by(self, state: Option<TaskState>) -> bool {
         match self {
             ExpectedEffect::Run => state.is_some(),
             ExpectedEffect::Stop => {
@@ -123,7 +124,7 @@
 }
 
 impl Machine {
-    /// A machine of which only the name is known.
+    /// Creates a machine of which only the id is known.
     pub fn unknown(now: Micros) -> Machine {
         Machine {
             machine_type: String::new(),
@@ -136,37 +137,37 @@
             unexpected_tasks: BTreeMap::new(),
             exited: Vec::new(),
             state: MachineState::Provisioning,
-            since: now,
-            newest: None,
+            provisioned_at: now,
+            newest_heartbeat: None,
             last_contact: now,
-            notice: None,
+            preemption_at: None,
             first_listed_at: None,
             listed_running: false,
-            lost: false,
+            is_gone: false,
             images: Vec::new(),
             written_images: BTreeSet::new(),
             failed_jobs: BTreeSet::new(),
             idle_since: None,
             suspicion_suppressed_at: Micros::ZERO,
-            reported_at: now,
+            last_heartbeat_at: now,
             is_reachable: false,
             consolidating: false,
             via: String::new(),
             is_provisioned_by_this_term: false,
             unacknowledged_heartbeats: 0,
-            unacknowledged_at: Micros::ZERO,
+            last_unacknowledged_at: Micros::ZERO,
             expected_effects: Vec::new(),
         }
     }
 
-    /// Reserves the resources of a task that is placed on it.
+    /// Reserves the resources of a task placed on this machine.
     pub fn reserve_resources(&mut self, task: TaskId, need: Resources, priority: Priority) {
         self.used += need;
         *self.reserved_by_priority.entry(priority).or_default() += need;
         self.reserved.insert(task, need);
     }
 
-    /// Releases the resources of a task that is off it.
+    /// Releases the resources reserved for a task, if there are any.
     pub fn release(&mut self, task: &TaskId, need: Resources, priority: Priority) {
         if self.reserved.remove(task).is_none() {
             return;
@@ -180,97 +181,100 @@
         }
     }
 
-    /// What tasks of a lower priority reserve.
+    /// Returns the resources reserved by tasks of lower priority.
     pub fn reserved_below(&self, priority: Priority) -> Resources {
         let below = self
             .reserved_by_priority
             .range(..priority)
-            .map(|(_, room)| *room);
-        below.fold(Resources::default(), |all, room| all + room)
+            .map(|(_, reserved)| *reserved);
+        below.fold(Resources::default(), |sum, reserved| sum + reserved)
     }
 
-    /// Whether a task of a lower priority is placed on it.
+    /// Returns whether a task of lower priority is placed on this machine.
     pub fn has_reserved_below(&self, priority: Priority) -> bool {
         self.reserved_by_priority.range(..priority).next().is_some()
     }
 
-    /// Free resources: all of them less everything that may be on it.
+    /// Returns the free resources: the total less those used by placed and unexpected tasks.
     pub fn free(&self) -> Resources {
         self.total - self.used
     }
 
-    /// Whether the image is cached, as far as this leader saw.
+    /// Returns whether the image is cached, as far as this leader knows.
     pub fn has_image(&self, image: &str) -> bool {
         self.images.iter().any(|(name, _)| name == image)
     }
 
-    /// Records that an image was used, and drops those that its cache must have evicted for it.
+    /// Records the use of an image, and removes the least recently used images that no longer fit into the cache.
     pub fn record_image(&mut self, image: &str, gb: f64, cache_gb: f64) {
         self.images.retain(|(name, _)| name != image);
         self.images.push((image.to_owned(), gb));
-        let mut sum: f64 = self.images.iter().map(|(_, gb)| gb).sum();
-        while sum > cache_gb && self.images.len() > 1 {
-            sum -= self.images.remove(0).1;
+        let mut cached_gb: f64 = self.images.iter().map(|(_, gb)| gb).sum();
+        while cached_gb > cache_gb && self.images.len() > 1 {
+            cached_gb -= self.images.remove(0).1;
         }
     }
 
-    /// The names of its images.
+    /// Returns the names of the cached images.
     pub fn image_names(&self) -> BTreeSet<String> {
         self.images.iter().map(|(name, _)| name.clone()).collect()
     }
 
-    /// Whether the images that it has are those that were written down, in whatever order they were used.
+    /// Returns whether the stored image names are those of the cached images, in any order.
     pub fn images_are_written(&self) -> bool {
         self.images.len() == self.written_images.len()
             && self
                 .images
                 .iter()
-                .all(|(n, _)| self.written_images.contains(n))
+                .all(|(name, _)| self.written_images.contains(name))
     }
 
-    /// How many tasks its next heartbeat will name: those placed, those that nobody placed, and those not cleared yet.
+    /// Returns the number of tasks that its next heartbeat will contain: placed tasks, unexpected tasks and exited
+    /// tasks that are not cleared yet.
     pub fn reported_tasks(&self) -> usize {
         self.reserved.len() + self.unexpected_tasks.len() + self.exited.len()
     }
 
-    /// Whether nothing is on it.
+    /// Returns whether no placed or unexpected tasks are on it.
     pub fn is_empty(&self) -> bool {
         self.reserved.is_empty() && self.unexpected_tasks.is_empty()
     }
 
-    /// Whether the failure detector counts it: it is up, or tasks are placed on it.
+    /// Returns whether the failure detector monitors its heartbeats: it is ready, or tasks are placed on it.
     pub fn is_monitored(&self) -> bool {
         self.state == MachineState::Ready || !self.reserved.is_empty()
     }
 
-    /// Whether it may be offered tasks, free resources aside.
-    pub fn takes_offers(&self) -> bool {
+    /// Returns whether it may be offered tasks, regardless of its free resources.
+    pub fn accepts_offers(&self) -> bool {
         self.state == MachineState::Ready
-            && self.notice.is_none()
-            && !self.lost
+            && self.preemption_at.is_none()
+            && !self.is_gone
             && self.is_reachable
-            && !self.is_suspect()
+            && !self.is_inbound_suspect()
     }
 
-    /// Whether its heartbeats arrive but our answers seem not to reach it. One lost answer says nothing yet.
-    pub fn is_suspect(&self) -> bool {
-        self.unacknowledged_heartbeats >= SUSPECT_AFTER
+    /// Returns whether the leader's answers may not reach it although its heartbeats arrive. A single unacknowledged
+    /// answer is not enough, as answers can get lost.
+    pub fn is_inbound_suspect(&self) -> bool {
+        self.unacknowledged_heartbeats >= INBOUND_SUSPECT_AFTER
     }
 
-    /// Whether its heartbeats count as signs of life no more, as it acknowledges no answer.
+    /// Returns whether the leader's answers do not reach it, in which case its heartbeats no longer show that it is
+    /// alive.
     pub fn is_inbound_unreachable(&self) -> bool {
         self.unacknowledged_heartbeats >= INBOUND_UNREACHABLE_AFTER
     }
 
-    /// Whether a heartbeat shows an effect of the commands in the answer before it; none if there were none.
+    /// Returns whether a heartbeat shows an effect of the commands in the previous answer, or `None` if it had none.
     pub fn acknowledges(&self, report: &TaskStatusIndex<'_>) -> Option<bool> {
         if self.expected_effects.is_empty() {
             return None;
         }
-        let shown = self.expected_effects.iter().any(|(task, attempt, asked)| {
-            let found = report.get(task, *attempt);
-            asked.is_shown(found.map(|t| t.state))
+        let is_any_confirmed = self.expected_effects.iter().any(|(task, attempt, effect)| {
+            let status = report.get(task, *attempt);
+            effect.is_confirmed_by(status.map(|t| t.state))
         });
-        Some(shown)
+        Some(is_any_confirmed)
     }
 }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -134,7 +134,7 @@
     fn stoppable(&self, incoming: &BTreeMap<MachineId, Resources>) -> Vec<MachineId> {
         self.count_steps(self.machines.len());
         let worth = |(id, m): &(&MachineId, &Machine)| {
-            m.takes_offers()
+            m.accepts_offers()
                 && (m.has_reserved_below(Priority::Critical) || incoming.contains_key(*id))
         };
         let machines = self.machines.iter().filter(worth);
@@ -161,7 +161,7 @@
             let Some(m) = self.machines.get(machine) else {
                 continue;
             };
-            if !m.takes_offers()
+            if !m.accepts_offers()
                 || !m.total.holds(&need)
                 || !self.accepts(id, machine)
                 || (with_image && !m.has_image(&spec.image))
--- a/src/scheduler/provisioning_times.rs
+++ b/src/scheduler/provisioning_times.rs
@@ -139,7 +139,7 @@
             zone.count(observation.tenths);
         }
         for m in machines.values() {
-            if m.newest.is_none() && is_late(m, types, now) {
+            if m.newest_heartbeat.is_none() && is_late(m, types, now) {
                 zones.entry(m.zone.clone()).or_default().late += 1;
             }
         }
@@ -153,7 +153,7 @@
 
     /// Whether a machine has not come up within its zone's provisioning timeout.
     pub(super) fn is_timed_out(&self, m: &Machine, types: &MachineTypes, now: Micros) -> bool {
-        let reported = m.newest.is_some();
+        let reported = m.newest_heartbeat.is_some();
         let timeout = self.zone(&m.zone).timeout_tenths();
         is_late(m, types, now) && (reported || provisioning_tenths(m, types, now) > timeout)
     }
@@ -177,12 +177,12 @@
 
 fn usual_boot(m: &Machine, types: &MachineTypes) -> Micros {
     let known = types.get(&m.machine_type);
-    known.map_or(UNKNOWN_BOOT, MachineType::boot)
+    known.map_or(UNKNOWN_BOOT, MachineType::provisioning_time)
 }
 
 /// How long a machine has been booting, in tenths of the usual time.
 fn provisioning_tenths(m: &Machine, types: &MachineTypes, now: Micros) -> u64 {
-    now.since(m.since).0.saturating_mul(10) / usual_boot(m, types).0.max(1)
+    now.since(m.provisioned_at).0.saturating_mul(10) / usual_boot(m, types).0.max(1)
 }
 
 /// Whether a machine is past the usual boot time, and this leader has not heard of it meanwhile. A new leader first gives
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -31,7 +31,7 @@
         let context = HeartbeatContext {
             position: r.position(),
             shows_token: r.token == self.token,
-            answers_arrive: !m.is_suspect(),
+            answers_arrive: !m.is_inbound_suspect(),
         };
         self.count_steps(reserved.len() + r.tasks.len());
         let mut changed = false;
--- a/src/scheduler/reserve.rs
+++ b/src/scheduler/reserve.rs
@@ -67,7 +67,12 @@
 impl Scheduler {
     /// Whether what a job's aims allow it to wait has ended before a machine that is provisioned for it has booted.
     pub(super) fn is_latency_sensitive(&self, spec: &JobSpec) -> bool {
-        let Some(boot) = self.machine_types.values().map(MachineType::boot).min() else {
+        let Some(boot) = self
+            .machine_types
+            .values()
+            .map(MachineType::provisioning_time)
+            .min()
+        else {
             return false;
         };
         let spare = |due: f64| Micros::from_secs_f64(due - spec.expect_s);
@@ -138,7 +143,11 @@
             let places = fixed as usize;
             return Some(Reserve { template, places });
         }
-        let boot = self.machine_types.values().map(MachineType::boot).min()?;
+        let boot = self
+            .machine_types
+            .values()
+            .map(MachineType::provisioning_time)
+            .min()?;
         let within = self.config.wait_within.get(&template.class)?;
         if boot < *within {
             return None;
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -273,7 +273,7 @@
     /// Jobs with waiting tasks in the order in which they are offered, those that back off left out. For one crash-looping
     /// nothing is provisioned as long as there is any machine that it could fail on.
     fn waiting_jobs(&self, now: Micros) -> Vec<JobId> {
-        let any_up = self.machines.values().any(Machine::takes_offers);
+        let any_up = self.machines.values().any(Machine::accepts_offers);
         self.count_steps(self.job_index.waiting_count());
         let mut waiting: Vec<&Job> = self
             .open_jobs()
@@ -292,21 +292,21 @@
             let boot = self
                 .machine_types
                 .get(&m.machine_type)
-                .map_or(Micros::secs(60), MachineType::boot);
+                .map_or(Micros::secs(60), MachineType::provisioning_time);
             // One that reported, but not yet to have heard this leader, does so with its next heartbeat or is not there.
-            let reports_soon = m.newest.is_none()
+            let reports_soon = m.newest_heartbeat.is_none()
                 || now.since(m.last_contact) < self.config.heartbeat_interval.scaled(2, 1);
             let is_provisioning = m.state == MachineState::Provisioning
                 && reports_soon
                 && m.total != Resources::default()
-                && !m.lost
+                && !m.is_gone
                 && self
                     .provisioning_times
                     .is_provisioned_soon(m, &self.machine_types, now);
             let mut free = m.free();
             let mut frees = false;
             let mut later = false;
-            if m.takes_offers() {
+            if m.accepts_offers() {
                 for (task, need) in &m.reserved {
                     let stopping = self.is_stopping(task);
                     if stopping || self.ends_within(task, boot.scaled(1, 3), now) {
@@ -317,7 +317,7 @@
                 }
             }
             // Guards against provisioning once more for tasks that wait a moment longer for their next offer.
-            let just_up = m.takes_offers()
+            let just_up = m.accepts_offers()
                 && m.is_empty()
                 && m.idle_since.is_some_and(|t| now.since(t) <= offered_within);
             if is_provisioning || frees || just_up {
@@ -439,7 +439,11 @@
 
     /// Whether the start aim of the job's class, if it has one, leaves the time of two boots.
     fn has_time_for_provisioning(&self, spec: &JobSpec) -> bool {
-        let boot = self.machine_types.values().map(MachineType::boot).max();
+        let boot = self
+            .machine_types
+            .values()
+            .map(MachineType::provisioning_time)
+            .max();
         let within = self.config.wait_within.get(&spec.class);
         within.is_none_or(|w| boot.is_some_and(|b| *w > b.scaled(2, 1)))
     }
--- a/src/scheduler/scenarios/mod.rs
+++ b/src/scheduler/scenarios/mod.rs
@@ -128,7 +128,7 @@
         fetch_gb_per_s: 0.5,
         price: 6.0,
         spot_price: 2.0,
-        boot_s: 40.0,
+        provisioning_time_s: 40.0,
         zones: vec!["a".into(), "b".into()],
     }
 }
--- a/src/scheduler/scenarios/recovery.rs
+++ b/src/scheduler/scenarios/recovery.rs
@@ -211,7 +211,7 @@
         rented += t.s.plan_fleet(t.now, 0).provision.len();
     }
     assert!(rented > 0, "nothing comes");
-    assert_eq!(t.s.machines.values().filter(|m| !m.lost).count(), 0);
+    assert_eq!(t.s.machines.values().filter(|m| !m.is_gone).count(), 0);
     let notes = t.info_lines();
     assert!(
         notes.iter().any(|n| n.contains("why=lost")),
--- a/tests/pinned_records.rs
+++ b/tests/pinned_records.rs
@@ -215,7 +215,7 @@
         fetch_gb_per_s: 0.25,
         price: 21.125,
         spot_price: 7.0,
-        boot_s: 95.0,
+        provisioning_time_s: 95.0,
         zones: vec!["z0".into(), "z1".into()],
     }
 }
