--- a/src/leader/fleet.rs
+++ b/src/leader/fleet.rs
@@ -72,7 +72,11 @@
             return;
         }
         let unix_time = self.clock.unix_time();
-        let overdue = self.term.scheduler.borrow_mut().overdue_cancels(unix_time);
+        let overdue = self
+            .term
+            .scheduler
+            .borrow_mut()
+            .terminate_overdue_cancellations(unix_time);
         self.terminate(&overdue, |_| true).await;
     }
 
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet: what to provision for tasks that no machine took, and what to terminate.
+//! Fleet management: planning of machines to provision and to terminate, and the state of provisioning requests.
 
 use super::events::SchedulerEvent;
 use super::job_spec::{JobSpec, Shape};
@@ -12,66 +12,66 @@
 use ravenhead_recovery::Resolution;
 use std::collections::{BTreeMap, HashSet};
 
-/// How long a pool that had no capacity is not asked again.
-const POOL_PAUSE: Micros = Micros::secs(20);
-/// The cloud charges at least so much for a machine that is terminated.
-const MIN_CHARGE: Micros = Micros::secs(60);
-/// Names kept of terminated machines, which late heartbeats and lists may still mention. One that was dropped and is
-/// mentioned again is only terminated again.
+/// How long no machines are requested from a pool after it has run out of capacity.
+const POOL_BACKOFF: Micros = Micros::secs(20);
+/// Minimum time that the cloud bills for a machine.
+const MIN_BILLED_TIME: Micros = Micros::secs(60);
+/// Maximum number of terminated machines whose ids are kept, because late heartbeats and machine lists may still
+/// contain them. If the id of one that is no longer kept appears again, that machine is just terminated again.
 const MAX_REMEMBERED_TERMINATED: usize = 20_000;
 
-/// Machines of one type, zone and kind.
+/// The machines of one machine type, in one zone, that are all spot or all on-demand.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Pool {
-    /// The type.
+    /// Name of the machine type.
     pub machine_type: String,
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Whether spot.
+    /// Whether they are spot machines rather than on-demand ones.
     pub spot: bool,
 }
 
-/// Machines to provision.
+/// A request to provision machines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScaleOutRequest {
-    /// From where.
+    /// Pool to provision them from.
     pub pool: Pool,
-    /// How many.
+    /// Number of machines.
     pub count: usize,
 }
 
-/// What is to be done with the fleet now.
+/// The machines to provision and to terminate.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct FleetPlan {
-    /// To provision.
+    /// Machines to provision, at most one request per pool.
     pub provision: Vec<ScaleOutRequest>,
-    /// To terminate.
+    /// Machines to terminate, including those whose termination is not confirmed yet.
     pub terminate: Vec<MachineId>,
 }
 
 /// The state of provisioning requests.
 #[derive(Debug, Default)]
 pub(super) struct Fleet {
-    /// Whether the machine list was read in this term.
-    pub(super) listed: bool,
-    /// Requests without an answer yet.
+    /// Whether a machine list has been read in this leader term.
+    pub(super) is_list_read: bool,
+    /// Requests that the cloud has not answered yet.
     pub(super) in_flight_requests: Vec<ScaleOutRequest>,
-    /// Pools without capacity, and until when they are not asked again.
-    pub(super) paused: BTreeMap<Pool, Micros>,
+    /// Pools that ran out of capacity, with the time until which no machines are requested from them.
+    pub(super) backoff_until: BTreeMap<Pool, Micros>,
 }
 
 impl Scheduler {
-    /// What to provision and terminate. `unix_time` is the time of day in microseconds.
+    /// Returns the machines to provision and terminate. `unix_time` is the Unix time in microseconds.
     pub fn plan_fleet(&mut self, now: Micros, unix_time: u64) -> FleetPlan {
         self.unix_time = unix_time;
         self.mark_unreachable(now);
         self.plan_redirects(now);
         self.terminate_lost(now);
         self.report_recovery(now);
-        self.overdue_cancels(unix_time);
+        self.terminate_overdue_cancellations(unix_time);
         self.observe_demand(now);
         if self.is_rebuilding() {
-            // What waits may run already, and what stands empty may be needed.
+            // Tasks that seem to wait may already be running, and machines that seem idle may be needed.
             return FleetPlan {
                 provision: Vec::new(),
                 terminate: self.terminating_machines(),
@@ -86,16 +86,17 @@
         }
     }
 
-    /// The machines to terminate.
+    /// Returns the machines in the state [`MachineState::Terminating`], in the order of their ids.
     fn terminating_machines(&self) -> Vec<MachineId> {
-        let terminating_machines = self
+        let terminating = self
             .machines
             .iter()
             .filter(|(_, m)| m.state == MachineState::Terminating);
-        terminating_machines.map(|(id, _)| id.clone()).collect()
+        terminating.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Takes in a machine's type, zone and kind, and moves its tasks' zone counts along.
+    /// Records a machine's type, zone and kind. If its zone changes, also moves its tasks in their jobs' counts by
+    /// zone.
     pub(super) fn observe_machine(
         &mut self,
         id: &MachineId,
@@ -122,13 +123,13 @@
         m.machine_type = machine_type.to_owned();
         m.spot = spot;
         m.total = total.unwrap_or_default();
-        let before = std::mem::replace(&mut m.zone, zone.to_owned());
-        if before == zone {
+        let old_zone = std::mem::replace(&mut m.zone, zone.to_owned());
+        if old_zone == zone {
             return;
         }
         for task in m.reserved.keys() {
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                if let Some(n) = job.live_by_zone.get_mut(&before) {
+                if let Some(n) = job.live_by_zone.get_mut(&old_zone) {
                     *n = n.saturating_sub(1);
                 }
                 *job.live_by_zone.entry(zone.to_owned()).or_default() += 1;
@@ -136,10 +137,11 @@
         }
     }
 
-    /// Machines that were provisioned so long ago, by this leader or an earlier one, which the list may not show yet.
+    /// Records machines that this leader or an earlier one provisioned, which the machine list may not show yet. `age`
+    /// is the time since they were provisioned.
     ///
-    /// Guards against a new leader that counts on machines which the earlier one terminated meanwhile, as if they were just
-    /// about to boot.
+    /// Machines that are known to be terminated are skipped. Without this, a new leader would count machines that the
+    /// earlier one has terminated as incoming capacity.
     pub fn inherit_provisioned(
         &mut self,
         pool: &Pool,
@@ -151,20 +153,21 @@
             if self.terminated.contains(id) {
                 continue;
             }
-            let known = self.machines.contains_key(id);
+            let was_known = self.machines.contains_key(id);
             self.observe_machine(id, &pool.machine_type, &pool.zone, pool.spot, now);
-            if let Some(m) = self.machines.get_mut(id).filter(|_| !known) {
+            if let Some(m) = self.machines.get_mut(id).filter(|_| !was_known) {
                 m.provisioned_at = now.since(age);
             }
         }
     }
 
-    /// A provisioning request is on its way.
+    /// Records that a provisioning request is being sent to the cloud.
     pub fn on_scale_out_started(&mut self, request: &ScaleOutRequest) {
         self.fleet.in_flight_requests.push(request.clone());
     }
 
-    /// A provisioning request was answered: the machines, or none where it failed.
+    /// Records the answer to a provisioning request: the machines provisioned, none if the request failed. If they are
+    /// fewer than requested, no more machines are requested from the pool for a while.
     pub fn on_scale_out_completed(
         &mut self,
         request: &ScaleOutRequest,
@@ -175,14 +178,14 @@
             .fleet
             .in_flight_requests
             .iter()
-            .position(|w| w == request)
+            .position(|r| r == request)
         {
             self.fleet.in_flight_requests.swap_remove(i);
         }
         if machines.len() < request.count {
             self.fleet
-                .paused
-                .insert(request.pool.clone(), now + POOL_PAUSE);
+                .backoff_until
+                .insert(request.pool.clone(), now + POOL_BACKOFF);
         }
         self.inherit_provisioned(&request.pool, machines, Micros::ZERO, now);
         for id in machines {
@@ -192,7 +195,7 @@
         }
     }
 
-    /// The cloud confirmed that these machines are gone, with everything on them.
+    /// Removes machines whose termination the cloud has confirmed, and requeues the tasks placed on them.
     pub fn on_terminated(&mut self, machines: &[MachineId], now: Micros) {
         for id in machines {
             let reserved: Vec<TaskId> = match self.machines.get(id) {
@@ -211,25 +214,26 @@
                 self.requeue(&task.job, now);
             }
             let removed = self.machines.remove(id);
-            let known = self.known_images.remove(id).is_some();
-            if known || removed.is_some_and(|m| !m.written_images.is_empty()) {
+            let had_images = self.known_images.remove(id).is_some();
+            if had_images || removed.is_some_and(|m| !m.written_images.is_empty()) {
                 self.new_images.insert(id.clone());
             }
             if self.terminated.insert(id.clone()) {
                 self.terminated_order.push_back(id.clone());
             }
             if self.terminated_order.len() > MAX_REMEMBERED_TERMINATED
-                && let Some(old) = self.terminated_order.pop_front()
+                && let Some(oldest) = self.terminated_order.pop_front()
             {
-                self.terminated.remove(&old);
+                self.terminated.remove(&oldest);
             }
         }
     }
 
-    /// Takes in the machine list, which lags, and of which the first page was requested at this time.
+    /// Records a machine list. `asked_at` is the time when its first page was requested; the list may be out of date by
+    /// the configured lag.
     pub fn on_list(&mut self, list: &[Listed], asked_at: Micros) {
         let lag = self.config.list_lag;
-        self.fleet.listed = true;
+        self.fleet.is_list_read = true;
         self.observe_list_in_rebuild(asked_at);
         let mut listed = HashSet::new();
         for entry in list {
@@ -237,7 +241,7 @@
             if self.terminated.contains(&entry.machine) {
                 continue;
             }
-            let known = self.machines.contains_key(&entry.machine);
+            let was_known = self.machines.contains_key(&entry.machine);
             self.observe_machine(
                 &entry.machine,
                 &entry.machine_type,
@@ -248,7 +252,7 @@
             let Some(m) = self.machines.get_mut(&entry.machine) else {
                 continue;
             };
-            if !known {
+            if !was_known {
                 m.provisioned_at = asked_at.since(Micros::from_secs_f64(entry.age_s));
             }
             m.first_listed_at.get_or_insert(asked_at);
@@ -258,25 +262,30 @@
             }
         }
         for (id, m) in &mut self.machines {
-            // A list may be older than the one before it, by twice the lag at most: only what is older than that
-            // can be missed for being gone.
-            let old = asked_at.since(m.provisioned_at) > lag.scaled(3, 1) + Micros::secs(1);
-            // Guards against a new leader that counts on what the one before provisioned and terminated, and takes these machines
-            // for late boots: those that are there are listed by now.
-            let never_came = m.newest_heartbeat.is_none() && !m.is_provisioned_by_this_term;
-            if (m.first_listed_at.is_some() || never_came) && old && !listed.contains(id) {
+            // A list may be older than the one before it, by at most twice the lag. Only a machine older than that is
+            // known to be gone if the list does not contain it.
+            let is_old_enough =
+                asked_at.since(m.provisioned_at) > lag.scaled(3, 1) + Micros::secs(1);
+            // Without this, a new leader would take machines that the earlier one provisioned and terminated for
+            // machines that are slow to provision. Those that still exist are listed by this age.
+            let never_reported = m.newest_heartbeat.is_none() && !m.is_provisioned_by_this_term;
+            if (m.first_listed_at.is_some() || never_reported)
+                && is_old_enough
+                && !listed.contains(id)
+            {
                 m.is_gone = true;
             }
         }
     }
 
-    /// Terminates machines that did not hear of a cancellation in time, together with the cancelled task.
-    pub fn overdue_cancels(&mut self, unix_time: u64) -> Vec<MachineId> {
-        let patience = self.config.cancel.scaled(3, 5).0;
+    /// Marks machines for termination that still have tasks of a cancelled job when three fifths of the time within
+    /// which they must stop have passed. Returns these machines, including those marked before.
+    pub fn terminate_overdue_cancellations(&mut self, unix_time: u64) -> Vec<MachineId> {
+        let timeout_us = self.config.cancel.scaled(3, 5).0;
         let mut overdue = BTreeMap::new();
         for job in self.jobs.values() {
             let Some(end) = job.end else { continue };
-            if job.live > 0 && unix_time > end.at.saturating_add(patience) {
+            if job.live > 0 && unix_time > end.at.saturating_add(timeout_us) {
                 overdue
                     .extend(live_tasks(job).map(|(_, p)| (p.machine.clone(), job.spec.id.clone())));
             }
@@ -295,39 +304,40 @@
         overdue.into_keys().collect()
     }
 
-    /// Terminates machines that were idle long enough, the highest ids first, down to the reserve.
+    /// Marks machines that were idle long enough for termination, as long as the free places of the reserve remain.
+    /// Considers on-demand machines first, then those with the highest ids.
     fn scale_in_idle(&mut self, reserve: Option<&Reserve>, now: Micros) {
-        let mut spare = match reserve {
+        let mut surplus_places = match reserve {
             Some(reserve) => self
                 .free_places(&reserve.template)
                 .saturating_sub(reserve.places),
             None => usize::MAX,
         };
         let mut idle = Vec::new();
-        // Ordinary machines cost about three times as much.
+        // On-demand machines come first, as they cost about three times as much as spot machines.
         let mut machines: Vec<(&MachineId, &Machine)> = self.machines.iter().rev().collect();
         machines.sort_by_key(|(_, m)| m.spot);
         for (id, m) in machines {
             let Some(since) = m.idle_since else { continue };
-            // What it reports as finished must be written first.
+            // The results of exited tasks must be stored before the machine is terminated.
             if !m.is_empty()
                 || !m.exited.is_empty()
                 || now.since(m.last_contact) > self.config.heartbeat_interval.scaled(2, 1)
             {
                 continue;
             }
-            let drained = m.state == MachineState::Draining;
-            let stale = m.state == MachineState::Ready
+            let is_drained = m.state == MachineState::Draining;
+            let is_idle_too_long = m.state == MachineState::Ready
                 && now.since(since) >= self.idle_limit(m)
-                && now.since(m.provisioned_at) >= MIN_CHARGE;
-            if drained {
+                && now.since(m.provisioned_at) >= MIN_BILLED_TIME;
+            if is_drained {
                 idle.push(id.clone());
-            } else if stale {
+            } else if is_idle_too_long {
                 let places = reserve.map_or(0, |r| self.places_on(m, &r.template));
-                // Ordinary machines are not kept for what spot ones may serve.
-                let too_expensive = !m.spot && reserve.is_some_and(|r| r.template.spot);
-                if places <= spare || too_expensive {
-                    spare = spare.saturating_sub(places);
+                // On-demand machines are not kept for work that may run on spot machines.
+                let is_too_expensive = !m.spot && reserve.is_some_and(|r| r.template.spot);
+                if places <= surplus_places || is_too_expensive {
+                    surplus_places = surplus_places.saturating_sub(places);
                     idle.push(id.clone());
                 }
             }
@@ -343,22 +353,24 @@
         }
     }
 
-    /// How long an empty machine is kept: a while that is short against booting another, or as long as that takes while
-    /// there is latency-sensitive work, for which another would come too late.
+    /// Returns how long an idle machine is kept: if not configured, an eighth of its provisioning time, or all of it
+    /// after recent latency-sensitive work that could use the machine, for which a new machine would come too late.
     ///
-    /// Guards against ordinary machines, at about three times the price, that are kept for work that spot ones may serve.
+    /// The demand is counted separately for spot and on-demand machines. Otherwise on-demand machines, at about three
+    /// times the price, would be kept for work that may run on spot machines.
     fn idle_limit(&self, m: &Machine) -> Micros {
-        let boot = self
+        let provisioning_time = self
             .machine_types
             .get(&m.machine_type)
             .map_or(Micros::ZERO, MachineType::provisioning_time);
-        let kept_ready = self.demand.is_recent_for(m.spot, self.latest);
+        let has_recent_demand = self.demand.is_recent_for(m.spot, self.latest);
         self.config
             .idle
-            .unwrap_or(boot.scaled(if kept_ready { 8 } else { 1 }, 8))
+            .unwrap_or(provisioning_time.scaled(if has_recent_demand { 8 } else { 1 }, 8))
     }
 
-    /// Places for such tasks on machines that are up, those included that preemption of lower priorities would free.
+    /// Returns the number of tasks of a job that would fit on the machines that accept offers. For a service, resources
+    /// that preemption of tasks of lower priority would free are included.
     pub(super) fn free_places(&self, spec: &JobSpec) -> usize {
         self.count_steps(self.machines.len());
         self.machines
@@ -368,15 +380,16 @@
             .sum()
     }
 
-    /// How many such tasks a machine could take.
+    /// Returns the number of tasks of a job that would fit on a machine, at most 1000. It is zero if the job may not
+    /// use machines of this type, zone and kind.
     pub(super) fn places_on(&self, m: &Machine, spec: &JobSpec) -> usize {
         if !spec.allows(&m.machine_type, &m.zone, m.spot) {
             return 0;
         }
-        let mut room = m.free();
+        let mut available = m.free();
         if spec.shape == Shape::Service {
-            room += m.reserved_below(spec.priority);
+            available += m.reserved_below(spec.priority);
         }
-        room.count_of(&spec.need()).min(1_000)
+        available.count_of(&spec.need()).min(1_000)
     }
 }
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -267,7 +267,8 @@
     fn all_have_reported(&self) -> bool {
         let is_up = |m: &Machine| m.listed_running || !m.reserved.is_empty();
         let mut machines = self.machines.values();
-        self.fleet.listed && machines.all(|m| m.state != MachineState::Provisioning || !is_up(m))
+        self.fleet.is_list_read
+            && machines.all(|m| m.state != MachineState::Provisioning || !is_up(m))
     }
 
     /// Jobs with waiting tasks in the order in which they are offered, those that back off left out. For one crash-looping
@@ -473,7 +474,11 @@
                         spot,
                     };
                     if !job.allows(&pool.machine_type, zone, spot)
-                        || self.fleet.paused.get(&pool).is_some_and(|t| *t > now)
+                        || self
+                            .fleet
+                            .backoff_until
+                            .get(&pool)
+                            .is_some_and(|t| *t > now)
                     {
                         continue;
                     }
