--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale-out: what to provision for tasks that neither free nor incoming capacity will hold.
+//! Scale-out: planning of machines to provision for tasks that fit into neither free nor incoming capacity.
 
 use super::fleet::{Pool, ScaleOutRequest};
 use super::job::Job;
@@ -13,69 +13,77 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Steps of one plan, each of which fills a machine or goes on to the next; or so many for each machine, if that is more.
-const STEPS_PER_PLAN: usize = 10_000;
-const STEPS_PER_MACHINE: usize = 4;
-/// Fewer waiting tasks than this are no ramp.
-const RAMP_FROM: usize = 16;
+/// Maximum number of planning steps for waiting tasks, each of which assigns tasks to one machine. The limit is
+/// [`MAX_PLAN_STEPS_PER_MACHINE`] for each machine if that is more.
+const MAX_PLAN_STEPS: usize = 10_000;
+const MAX_PLAN_STEPS_PER_MACHINE: usize = 4;
+/// Maximum number of waiting tasks for which no extra machines are provisioned, however few tasks are running.
+const RAMP_UP_THRESHOLD_TASKS: usize = 16;
 
-/// What an index knows of a bin: its free processors, accelerators and memory.
-type Amounts = [i64; 3];
+/// Key of a bin in an index: its free processors, accelerators and memory.
+type IndexKey = [i64; 3];
 type Index = FirstFitByKind<3, KINDS>;
 
-/// Which bins a job asks for; each kind has an index of its own.
+/// The bins that a job may use. Each kind has its own index.
 #[derive(Debug, Clone, Copy)]
 enum Kind {
-    /// Any.
+    /// All bins.
     Any,
-    /// Those whose room is there as soon as the machine is.
-    Soon,
-    /// Ordinary machines.
-    Ordinary,
-    /// Both.
-    OrdinarySoon,
+    /// Bins whose resources are free without waiting for tasks to end.
+    Immediate,
+    /// Bins of on-demand machines.
+    OnDemand,
+    /// Bins of on-demand machines whose resources are free without waiting for tasks to end.
+    OnDemandImmediate,
 }
 
 const KINDS: usize = 4;
 
 impl Kind {
-    const ALL: [Kind; KINDS] = [Kind::Any, Kind::Soon, Kind::Ordinary, Kind::OrdinarySoon];
+    const ALL: [Kind; KINDS] = [
+        Kind::Any,
+        Kind::Immediate,
+        Kind::OnDemand,
+        Kind::OnDemandImmediate,
+    ];
 
-    fn of(patient: bool, ordinary_only: bool) -> Kind {
-        match (patient, ordinary_only) {
+    fn of(may_wait_for_tasks: bool, on_demand_only: bool) -> Kind {
+        match (may_wait_for_tasks, on_demand_only) {
             (true, false) => Kind::Any,
-            (false, false) => Kind::Soon,
-            (true, true) => Kind::Ordinary,
-            (false, true) => Kind::OrdinarySoon,
+            (false, false) => Kind::Immediate,
+            (true, true) => Kind::OnDemand,
+            (false, true) => Kind::OnDemandImmediate,
         }
     }
 }
 
-/// Incoming capacity: a machine that boots, is being provisioned, or is about to be provisioned.
+/// Incoming capacity of one machine: one that is being provisioned, is to be provisioned, has recently become ready, or
+/// on which tasks are about to end.
 struct Bin {
     pool: Pool,
     free: Resources,
-    /// How many more tasks it may take, whatever their size.
+    /// Number of tasks that it may still get, regardless of their size.
     slots: usize,
-    new: bool,
-    /// Whether the room is there only once tasks that run there now have ended.
-    later: bool,
+    /// Whether this plan adds the machine, rather than it being provisioned already.
+    is_new: bool,
+    /// Whether some of the free resources are available only after running tasks have ended.
+    waits_for_tasks: bool,
 }
 
 impl Bin {
-    /// A machine that is being provisioned, or about to be.
-    fn provisioned(pool: Pool, room: Resources, new: bool) -> Bin {
+    /// Creates the bin of an empty machine that is being provisioned or is to be provisioned.
+    fn provisioned(pool: Pool, free: Resources, is_new: bool) -> Bin {
         Bin {
             pool,
-            free: room,
+            free,
             slots: MAX_TASKS_PER_MACHINE,
-            new,
-            later: false,
+            is_new,
+            waits_for_tasks: false,
         }
     }
 
-    /// How many tasks of this size it takes, of so many.
-    fn takes(&self, need: &Resources, wanted: usize) -> usize {
+    /// Returns how many of `wanted` tasks that need `need` each fit into this bin.
+    fn capacity_for(&self, need: &Resources, wanted: usize) -> usize {
         self.free.count_of(need).min(self.slots).min(wanted)
     }
 
@@ -84,13 +92,13 @@
         self.slots -= tasks;
     }
 
-    /// What an index of a kind knows of it.
-    fn amounts(&self, kind: Kind) -> Amounts {
+    /// Returns the key of this bin in the index of a kind, or the key for absent bins if it is not of the kind or full.
+    fn index_key(&self, kind: Kind) -> IndexKey {
         let is_of_kind = match kind {
             Kind::Any => true,
-            Kind::Soon => !self.later,
-            Kind::Ordinary => !self.pool.spot,
-            Kind::OrdinarySoon => !self.later && !self.pool.spot,
+            Kind::Immediate => !self.waits_for_tasks,
+            Kind::OnDemand => !self.pool.spot,
+            Kind::OnDemandImmediate => !self.waits_for_tasks && !self.pool.spot,
         };
         if !is_of_kind || self.slots == 0 {
             return Index::ABSENT_KEY;
@@ -99,54 +107,56 @@
     }
 }
 
-/// A plan of provisioning requests in the making.
+/// A scale-out plan under construction.
 struct Plan {
     bins: Vec<Bin>,
     index: Index,
-    /// The first bin that may take the next task of the job at hand.
-    next: usize,
-    /// Machines to be provisioned by it.
-    provisioned: usize,
-    /// Machines by zone, those to be provisioned included.
-    in_zone: BTreeMap<String, usize>,
+    /// First bin that may have capacity for the remaining tasks of the current job.
+    next_bin: usize,
+    /// Number of machines that this plan adds.
+    added_machines: usize,
+    /// Number of machines by zone, including those that this plan adds.
+    machines_by_zone: BTreeMap<String, usize>,
 }
 
 impl Plan {
-    /// The first bin of a kind at or after the place that has so much room.
+    /// Returns the first bin of a kind, at index `from` or later, with free resources of at least `need`.
     fn first_from(&mut self, from: usize, kind: Kind, need: &Resources) -> Option<usize> {
         let bins = &self.bins;
         let need = need.amounts();
         self.index
-            .first_from(kind as usize, from, &need, |i| bins[i].amounts(kind))
+            .first_from(kind as usize, from, &need, |i| bins[i].index_key(kind))
     }
 
     fn fill(&mut self, bin: usize, need: &Resources, tasks: usize) {
         self.bins[bin].fill(need, tasks);
         let filled = &self.bins[bin];
-        self.index.set(bin, |kind| filled.amounts(Kind::ALL[kind]));
+        self.index
+            .set(bin, |kind| filled.index_key(Kind::ALL[kind]));
     }
 
     fn add(&mut self, bin: Bin) -> usize {
-        self.index.push(|kind| bin.amounts(Kind::ALL[kind]));
+        self.index.push(|kind| bin.index_key(Kind::ALL[kind]));
         self.bins.push(bin);
         self.bins.len() - 1
     }
 }
 
-/// Tasks of one job for which room was found: in which zone, and how many.
-struct Found {
+/// Tasks of one job that were assigned to a bin, and the zone of the bin.
+struct AssignedTasks {
     zone: String,
     tasks: usize,
 }
 
 impl Scheduler {
-    /// What to provision for waiting tasks that neither free nor incoming capacity will hold, and for the reserve.
+    /// Returns the machines to provision for waiting tasks that fit into neither free nor incoming capacity, and for
+    /// the reserve.
     pub(super) fn plan_scale_out(
         &mut self,
         reserve: Option<Reserve>,
         now: Micros,
     ) -> Vec<ScaleOutRequest> {
-        // A new leader first hears what there is.
+        // A new leader first waits for the heartbeats of existing machines.
         let discovery_period = self.config.heartbeat_interval.scaled(5, 4) + Micros::secs(1);
         if now.since(self.started_at) < discovery_period && !self.all_have_reported() {
             return Vec::new();
@@ -154,15 +164,20 @@
         let free = reserve
             .as_ref()
             .map_or(0, |r| self.free_places(&r.template));
-        let ramp = reserve.as_ref().map_or(0, |_| self.ramp_extra());
+        let ramp_up = reserve.as_ref().map_or(0, |_| self.ramp_up_places());
         let places = reserve.as_ref().map_or(0, |r| r.places);
         let waiting = self.waiting_jobs(now);
-        if waiting.is_empty() && free >= places.max(ramp) {
+        if waiting.is_empty() && free >= places.max(ramp_up) {
             return Vec::new();
         }
         let mut plan = self.begin_plan(now);
         if let Some(reserve) = &reserve {
-            self.plan_places(&reserve.template, ramp.saturating_sub(free), &mut plan, now);
+            self.plan_places(
+                &reserve.template,
+                ramp_up.saturating_sub(free),
+                &mut plan,
+                now,
+            );
         }
         self.plan_waiting(&waiting, &mut plan, now);
         if let Some(reserve) = &reserve {
@@ -177,10 +192,10 @@
         self.requests(plan)
     }
 
-    /// Finds room for the waiting tasks of these jobs, in their order.
+    /// Assigns the waiting tasks of these jobs to bins, in the order of the jobs.
     fn plan_waiting(&self, waiting: &[JobId], plan: &mut Plan, now: Micros) {
         let mut planned_use: BTreeMap<String, Resources> = BTreeMap::new();
-        let mut left = STEPS_PER_PLAN.max(self.machines.len() * STEPS_PER_MACHINE);
+        let mut steps_left = MAX_PLAN_STEPS.max(self.machines.len() * MAX_PLAN_STEPS_PER_MACHINE);
         for id in waiting {
             let Some(job) = self.jobs.get(id) else {
                 continue;
@@ -188,67 +203,71 @@
             let spec = job.spec.clone();
             let need = spec.need();
             let planned = planned_use.entry(spec.team.clone()).or_default();
-            // Where it matters which zone the others are in, each is planned by itself.
-            let at_once = if spec.together || spec.spread {
+            // If the zones of a job's tasks depend on each other, they are assigned one at a time.
+            let max_per_step = if spec.together || spec.spread {
                 1
             } else {
                 usize::MAX
             };
-            let mut in_zone: BTreeMap<String, u32> = BTreeMap::new();
-            let mut open = job.open() as usize;
-            plan.next = 0;
-            while open > 0 && left > 0 {
-                left -= 1;
-                let allowed = self.tasks_within_limit(&spec.team, planned, &need);
-                let wanted = open.min(allowed).min(at_once);
+            let mut tasks_by_zone: BTreeMap<String, u32> = BTreeMap::new();
+            let mut unassigned = job.open() as usize;
+            plan.next_bin = 0;
+            while unassigned > 0 && steps_left > 0 {
+                steps_left -= 1;
+                let within_limit = self.tasks_within_limit(&spec.team, planned, &need);
+                let wanted = unassigned.min(within_limit).min(max_per_step);
                 if wanted == 0 {
                     break;
                 }
-                let Some(found) = self.plan_tasks(job, wanted, &in_zone, plan, now) else {
+                let Some(assigned) = self.plan_tasks(job, wanted, &tasks_by_zone, plan, now) else {
                     break;
                 };
-                *planned += need.times(found.tasks);
-                *in_zone.entry(found.zone).or_default() += found.tasks as u32;
-                open -= found.tasks;
+                *planned += need.times(assigned.tasks);
+                *tasks_by_zone.entry(assigned.zone).or_default() += assigned.tasks as u32;
+                unassigned -= assigned.tasks;
             }
         }
     }
 
-    /// The machines that a plan adds, pool by pool, as many as may be provisioned at a time.
+    /// Returns the machines that a plan adds, by pool, up to the maximum per scheduling cycle.
     fn requests(&self, plan: Plan) -> Vec<ScaleOutRequest> {
         let mut requests: BTreeMap<Pool, usize> = BTreeMap::new();
-        for bin in plan.bins.into_iter().filter(|b| b.new) {
+        for bin in plan.bins.into_iter().filter(|b| b.is_new) {
             *requests.entry(bin.pool).or_default() += 1;
         }
         let mut allowed = self.config.max_scale_out_per_cycle;
-        let mut rent = Vec::new();
+        let mut scale_out = Vec::new();
         for (pool, count) in requests {
             let count = count.min(allowed);
             allowed -= count;
             if count > 0 {
-                rent.push(ScaleOutRequest { pool, count });
+                scale_out.push(ScaleOutRequest { pool, count });
             }
         }
-        rent
+        scale_out
     }
 
-    /// Plans so many more places for such tasks.
+    /// Adds capacity to the plan for more tasks like those of a job.
     fn plan_places(&self, spec: &Rc<JobSpec>, places: usize, plan: &mut Plan, now: Micros) {
         let job = Job::new(spec.clone(), 0, None, Micros::ZERO);
-        let nowhere = BTreeMap::new();
-        plan.next = 0;
-        let mut left = places;
-        while left > 0 {
-            let Some(found) = self.plan_tasks(&job, left, &nowhere, plan, now) else {
+        let no_tasks_by_zone = BTreeMap::new();
+        plan.next_bin = 0;
+        let mut remaining = places;
+        while remaining > 0 {
+            let Some(assigned) = self.plan_tasks(&job, remaining, &no_tasks_by_zone, plan, now)
+            else {
                 return;
             };
-            left -= found.tasks;
+            remaining -= assigned.tasks;
         }
     }
 
-    /// Places to provision beyond what waits, while much of the classes that can't wait for a boot does: boots differ by
-    /// more than double, so that of more machines those needed are up sooner.
-    fn ramp_extra(&self) -> usize {
+    /// Returns the number of task places to provision beyond the waiting tasks while many on-demand tasks wait whose
+    /// class has a start objective.
+    ///
+    /// Provisioning times differ by more than a factor of two, so when more machines are provisioned than needed, the
+    /// number needed is ready sooner.
+    fn ramp_up_places(&self) -> usize {
         let (mut waiting, mut running) = (0, 0);
         for job in self.jobs.values() {
             if self.config.wait_within.contains_key(&job.spec.class) && !job.spec.spot {
@@ -256,45 +275,49 @@
                 running += job.live as usize;
             }
         }
-        if waiting > RAMP_FROM.max(running / 4) {
+        if waiting > RAMP_UP_THRESHOLD_TASKS.max(running / 4) {
             waiting / 2
         } else {
             0
         }
     }
 
-    /// Whether the machine list was read, and every machine that must be up by it, or by its tasks, has reported.
+    /// Returns whether the machine list has been read and every machine has reported that must be running, because it
+    /// is listed so or has tasks.
     fn all_have_reported(&self) -> bool {
-        let is_up = |m: &Machine| m.listed_running || !m.reserved.is_empty();
+        let must_be_up = |m: &Machine| m.listed_running || !m.reserved.is_empty();
         let mut machines = self.machines.values();
         self.fleet.is_list_read
-            && machines.all(|m| m.state != MachineState::Provisioning || !is_up(m))
+            && machines.all(|m| m.state != MachineState::Provisioning || !must_be_up(m))
     }
 
-    /// Jobs with waiting tasks in the order in which they are offered, those that back off left out. For one crash-looping
-    /// nothing is provisioned as long as there is any machine that it could fail on.
+    /// Returns the jobs with waiting tasks in the order in which they are offered, without those that back off.
+    ///
+    /// A job in a crash loop is included only if no machine accepts offers. Otherwise its next attempt is made on an
+    /// existing machine, and nothing is provisioned for it.
     fn waiting_jobs(&self, now: Micros) -> Vec<JobId> {
-        let any_up = self.machines.values().any(Machine::accepts_offers);
+        let any_accepts_offers = self.machines.values().any(Machine::accepts_offers);
         self.count_steps(self.job_index.waiting_count());
         let mut waiting: Vec<&Job> = self
             .open_jobs()
             .filter(|j| j.open() > 0 && j.next_try <= now + Micros::secs(2))
-            .filter(|j| !(j.crash_looping && any_up))
+            .filter(|j| !(j.crash_looping && any_accepts_offers))
             .collect();
         self.sort_by_queue_position(&mut waiting);
         waiting.into_iter().map(|j| j.spec.id.clone()).collect()
     }
 
-    /// Capacity that comes without provisioning anything more.
+    /// Returns the bins of capacity that becomes available without provisioning more machines.
     fn incoming_capacity(&self, now: Micros) -> Vec<Bin> {
         let mut bins = Vec::new();
         let offered_within = self.config.retry + self.config.jitter.scaled(2, 1);
         for m in self.machines.values() {
-            let boot = self
+            let provisioning_time = self
                 .machine_types
                 .get(&m.machine_type)
                 .map_or(Micros::secs(60), MachineType::provisioning_time);
-            // One that reported, but not yet to have heard this leader, does so with its next heartbeat or is not there.
+            // A machine that has sent a heartbeat, but is not ready because none has acknowledged this leader yet, does
+            // so in its next heartbeat or no longer exists.
             let reports_soon = m.newest_heartbeat.is_none()
                 || now.since(m.last_contact) < self.config.heartbeat_interval.scaled(2, 1);
             let is_provisioning = m.state == MachineState::Provisioning
@@ -305,23 +328,24 @@
                     .provisioning_times
                     .is_provisioned_soon(m, &self.machine_types, now);
             let mut free = m.free();
-            let mut frees = false;
-            let mut later = false;
+            let mut is_freed_by_tasks = false;
+            let mut waits_for_tasks = false;
             if m.accepts_offers() {
                 for (task, need) in &m.reserved {
                     let stopping = self.is_stopping(task);
-                    if stopping || self.ends_within(task, boot.scaled(1, 3), now) {
+                    if stopping || self.ends_within(task, provisioning_time.scaled(1, 3), now) {
                         free += *need;
-                        frees = true;
-                        later |= !stopping;
+                        is_freed_by_tasks = true;
+                        waits_for_tasks |= !stopping;
                     }
                 }
             }
-            // Guards against provisioning once more for tasks that wait a moment longer for their next offer.
-            let just_up = m.accepts_offers()
+            // Without this, machines would be provisioned again for tasks that wait for their next offer, although the
+            // machines provisioned for them have become ready.
+            let is_newly_idle = m.accepts_offers()
                 && m.is_empty()
                 && m.idle_since.is_some_and(|t| now.since(t) <= offered_within);
-            if is_provisioning || frees || just_up {
+            if is_provisioning || is_freed_by_tasks || is_newly_idle {
                 bins.push(Bin {
                     pool: Pool {
                         machine_type: m.machine_type.clone(),
@@ -330,8 +354,8 @@
                     },
                     free,
                     slots: MAX_TASKS_PER_MACHINE.saturating_sub(m.reported_tasks()),
-                    new: false,
-                    later,
+                    is_new: false,
+                    waits_for_tasks,
                 });
             }
         }
@@ -339,20 +363,21 @@
             let Some(machine_type) = self.machine_types.get(&request.pool.machine_type) else {
                 continue;
             };
-            let room = machine_type.resources();
-            let provisioned = || Bin::provisioned(request.pool.clone(), room, false);
+            let total = machine_type.resources();
+            let provisioned = || Bin::provisioned(request.pool.clone(), total, false);
             bins.extend(std::iter::repeat_with(provisioned).take(request.count));
         }
         bins
     }
 
+    /// Returns whether a placed task is being stopped.
     pub(super) fn is_stopping(&self, task: &TaskId) -> bool {
         let job = self.jobs.get(&task.job);
         let p = job.and_then(|j| j.placement(task.index));
         p.is_some_and(|p| p.stopping.is_some())
     }
 
-    /// Whether a task is done so soon, by its owner's estimate, that provisioning would not help sooner.
+    /// Returns whether a task is expected to end within the limit, by the run time that its job's owner estimated.
     fn ends_within(&self, task: &TaskId, limit: Micros, now: Micros) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
@@ -361,18 +386,18 @@
             return false;
         };
         let expected = Micros::from_secs_f64(job.spec.expect_s);
-        let left = expected.since(now.since(since));
-        // An estimate that has run out says little; a quarter as long again is a fair guess.
-        job.spec.shape == Shape::Array && left.max(expected.scaled(1, 4)) <= limit
+        let remaining = expected.since(now.since(since));
+        // A task that has run longer than estimated is expected to need another quarter of the estimate.
+        job.spec.shape == Shape::Array && remaining.max(expected.scaled(1, 4)) <= limit
     }
 
     fn begin_plan(&self, now: Micros) -> Plan {
-        let mut in_zone: BTreeMap<String, usize> = BTreeMap::new();
+        let mut machines_by_zone: BTreeMap<String, usize> = BTreeMap::new();
         for m in self.machines.values() {
-            match in_zone.get_mut(&m.zone) {
+            match machines_by_zone.get_mut(&m.zone) {
                 Some(n) => *n += 1,
                 None => {
-                    in_zone.insert(m.zone.clone(), 1);
+                    machines_by_zone.insert(m.zone.clone(), 1);
                 }
             }
         }
@@ -380,77 +405,80 @@
         Plan {
             index: Index::new(bins.len()),
             bins,
-            next: 0,
-            provisioned: 0,
-            in_zone,
+            next_bin: 0,
+            added_machines: 0,
+            machines_by_zone,
         }
     }
 
-    /// Finds incoming capacity for some of these tasks of a job, or adds a machine to provision; none where there is none.
+    /// Assigns at least one of `wanted` tasks of a job to a bin with incoming capacity, or else to a machine added to
+    /// the plan. Returns `None` if no bin fits and no machine can be added.
     fn plan_tasks(
         &self,
         job: &Job,
         wanted: usize,
-        in_zone: &BTreeMap<String, u32>,
+        tasks_by_zone: &BTreeMap<String, u32>,
         plan: &mut Plan,
         now: Micros,
-    ) -> Option<Found> {
+    ) -> Option<AssignedTasks> {
         let spec = &job.spec;
         let need = spec.need();
         let zone_fits = |zone: &str| {
-            let here = in_zone.get(zone).copied().unwrap_or(0);
-            let elsewhere: u32 = in_zone.values().sum::<u32>() - here;
+            let here = tasks_by_zone.get(zone).copied().unwrap_or(0);
+            let elsewhere: u32 = tasks_by_zone.values().sum::<u32>() - here;
             zone_takes(job, zone, here, None) && !(spec.together && elsewhere > 0)
         };
-        // What has a deadline or must start at once does not wait for others to end.
-        // For latency-sensitive work a provisioned machine comes later than what ends within a part of a boot.
-        let patient = spec.due_s.is_none() && self.has_time_for_provisioning(spec)
+        // Jobs with a deadline, or with a start objective too short for provisioning, do not wait for other tasks to
+        // end. Latency-sensitive jobs do: tasks that end within a third of a provisioning time make their resources
+        // available before a new machine would be ready.
+        let may_wait_for_tasks = spec.due_s.is_none() && self.has_time_for_provisioning(spec)
             || self.is_latency_sensitive(spec);
-        let ordinary_only = !spec.spot || job.lost_on_spot;
-        let kind = Kind::of(patient, ordinary_only);
-        // What did not take one task of a job does not take the next.
-        while let Some(i) = plan.first_from(plan.next, kind, &need) {
+        let on_demand_only = !spec.spot || job.lost_on_spot;
+        let kind = Kind::of(may_wait_for_tasks, on_demand_only);
+        // A bin that can't hold one task of a job can't hold the next one either.
+        while let Some(i) = plan.first_from(plan.next_bin, kind, &need) {
             self.count_steps(1);
-            plan.next = i;
+            plan.next_bin = i;
             let bin = &plan.bins[i];
             let zone = bin.pool.zone.clone();
-            let tasks = bin.takes(&need, wanted);
+            let tasks = bin.capacity_for(&need, wanted);
             if tasks > 0
                 && job.allows(&bin.pool.machine_type, &zone, bin.pool.spot)
                 && zone_fits(&zone)
             {
                 plan.fill(i, &need, tasks);
-                return Some(Found { zone, tasks });
+                return Some(AssignedTasks { zone, tasks });
             }
-            plan.next = i + 1;
+            plan.next_bin = i + 1;
         }
-        if plan.provisioned >= self.config.max_scale_out_per_cycle {
+        if plan.added_machines >= self.config.max_scale_out_per_cycle {
             return None;
         }
-        let (pool, room) = self.choose_pool(job, plan, now, zone_fits)?;
+        let (pool, total) = self.choose_pool(job, plan, now, zone_fits)?;
         let zone = pool.zone.clone();
-        plan.provisioned += 1;
-        *plan.in_zone.entry(zone.clone()).or_default() += 1;
-        let bin = Bin::provisioned(pool, room, true);
-        let tasks = bin.takes(&need, wanted).max(1);
+        plan.added_machines += 1;
+        *plan.machines_by_zone.entry(zone.clone()).or_default() += 1;
+        let bin = Bin::provisioned(pool, total, true);
+        let tasks = bin.capacity_for(&need, wanted).max(1);
         let i = plan.add(bin);
         plan.fill(i, &need, tasks);
-        Some(Found { zone, tasks })
+        Some(AssignedTasks { zone, tasks })
     }
 
-    /// Whether the start aim of the job's class, if it has one, leaves the time of two boots.
+    /// Returns whether the start objective of the job's class, if it has one, is longer than two provisioning times.
     fn has_time_for_provisioning(&self, spec: &JobSpec) -> bool {
-        let boot = self
+        let provisioning_time = self
             .machine_types
             .values()
             .map(MachineType::provisioning_time)
             .max();
-        let within = self.config.wait_within.get(&spec.class);
-        within.is_none_or(|w| boot.is_some_and(|b| *w > b.scaled(2, 1)))
+        let start_objective = self.config.wait_within.get(&spec.class);
+        start_objective.is_none_or(|w| provisioning_time.is_some_and(|t| *w > t.scaled(2, 1)))
     }
 
-    /// The pool where a place for such a task is cheapest; among equals the zone with the fewest machines. Zones of which
-    /// nothing is heard, or where machines come up late, come last.
+    /// Returns the pool with the lowest price per task of a job, and the resources of its machines. Among pools of
+    /// equal price, the one in the zone with the fewest machines is chosen. Zones that are unreachable or where
+    /// provisioning is slow come last.
     fn choose_pool(
         &self,
         job: &Job,
@@ -461,8 +489,8 @@
         let need = job.spec.need();
         let mut best: Option<((bool, f64, usize), Pool, Resources)> = None;
         for machine_type in self.machine_types.values() {
-            let room = machine_type.resources();
-            let places = room.count_of(&need).min(1_000);
+            let total = machine_type.resources();
+            let places = total.count_of(&need).min(1_000);
             if places == 0 {
                 continue;
             }
@@ -487,16 +515,16 @@
                     } else {
                         machine_type.price
                     };
-                    let there = plan.in_zone.get(zone).copied().unwrap_or(0);
-                    let is_suspect = self.failure_detector.is_zone_unreachable(zone)
+                    let machines_in_zone = plan.machines_by_zone.get(zone).copied().unwrap_or(0);
+                    let is_impaired = self.failure_detector.is_zone_unreachable(zone)
                         || self.provisioning_times.is_slow(zone);
-                    let rank = (is_suspect, price / places as f64, there);
+                    let rank = (is_impaired, price / places as f64, machines_in_zone);
                     if best.as_ref().is_none_or(|(r, _, _)| rank < *r) {
-                        best = Some((rank, pool, room));
+                        best = Some((rank, pool, total));
                     }
                 }
             }
         }
-        best.map(|(_, pool, room)| (pool, room))
+        best.map(|(_, pool, total)| (pool, total))
     }
 }
