--- a/src/scheduler/failure_attribution.rs
+++ b/src/scheduler/failure_attribution.rs
@@ -1,4 +1,5 @@
-//! Failure attribution: a crash-looping job, which fails everywhere, or a faulty machine, which fails everything.
+//! Failure attribution: decides whether task failures are due to a crash-looping job, which fails on every machine, or
+//! to a faulty machine, which fails tasks of every job.
 
 use super::Scheduler;
 use super::events::SchedulerEvent;
@@ -7,26 +8,28 @@
 use crate::ids::{JobId, MachineId, TaskId};
 use crate::units::Micros;
 
-/// A job that failed on so many machines is itself crash-looping.
+/// Number of machines on which a job must have failed to count as crash-looping.
 const CRASH_LOOP_MACHINES: usize = 3;
-/// A machine that failed tasks of so many jobs, with none succeeding since, is quarantined.
+/// Number of jobs of which tasks must have failed on a machine, without a success since, for it to be quarantined.
 const QUARANTINE_AFTER_JOBS: usize = 2;
 
 impl Scheduler {
-    /// Attributes a failure to the job or to the machine.
+    /// Attributes the failure of a task to its job or to the machine.
     ///
-    /// Guards against a gap of offers in id order: a job that fails everywhere would land on the same low machine for ever,
-    /// and a machine that fails everything would be offered every job first.
+    /// Without this, as machines are offered in the order of their ids, a job that fails on every machine would be
+    /// placed on the machine with the lowest id again and again, and a faulty machine with a low id would get every job
+    /// first.
     ///
-    /// Until a job is known to be crash-looping its failures speak against the machines as well; then these are absolved, so
-    /// that two broken jobs that met on a machine do not quarantine it.
-    pub(super) fn task_failed(&mut self, task: &TaskId, machine: &MachineId, now: Micros) {
-        let machines = self.machines.len();
+    /// Until a job counts as crash-looping, its failures are attributed to the machines too. When it does, they are
+    /// removed from these machines, so that a machine is not quarantined because two faulty jobs ran on it.
+    pub(super) fn on_task_failure(&mut self, task: &TaskId, machine: &MachineId, now: Micros) {
+        let machine_count = self.machines.len();
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if job.failed_on.len() * 2 >= machines.max(2 * CRASH_LOOP_MACHINES) {
-            // Where it failed on most machines, they get another try.
+        if job.failed_on.len() * 2 >= machine_count.max(2 * CRASH_LOOP_MACHINES) {
+            // A job that failed on half of the machines or more may be placed on them again; otherwise few would be
+            // left.
             job.failed_on.clear();
         }
         job.failed_on.insert(machine.clone());
@@ -34,30 +37,31 @@
         if job.crash_looping || job.failed_on.len() >= CRASH_LOOP_MACHINES {
             let pause = job.pause();
             job.next_try = now + pause;
-            // A service shows no success, and a gang can't be tried one task at a time: their failures are judged anew.
-            let is_persistent = job.spec.shape == Shape::Array;
+            // Only an array stays marked as crash-looping. A service has no completed task that would clear the mark,
+            // and a gang can't be retried one task at a time: their failures are counted anew.
+            let stays_crash_looping = job.spec.shape == Shape::Array;
             if job.crash_looping {
                 return;
             }
-            job.crash_looping = is_persistent;
+            job.crash_looping = stays_crash_looping;
             self.events.push(SchedulerEvent::JobCrashLooping {
                 job: task.job.clone(),
                 pause,
             });
-            let attributed = if is_persistent {
+            let attributed_machines = if stays_crash_looping {
                 job.failed_on.clone()
             } else {
                 std::mem::take(&mut job.failed_on)
             };
-            for m in attributed {
-                self.absolve(&m, &task.job);
+            for m in attributed_machines {
+                self.remove_attributed_failure(&m, &task.job);
             }
             return;
         }
         self.attribute_failure(machine, &task.job);
     }
 
-    /// A machine failed a job that is not known to be crash-looping.
+    /// Attributes a failure of a job to a machine, and quarantines the machine if it has failed enough jobs.
     fn attribute_failure(&mut self, machine: &MachineId, job: &JobId) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
@@ -71,8 +75,9 @@
         }
     }
 
-    /// The job was crash-looping: if that is all there was against a machine, it is as good as any.
-    fn absolve(&mut self, machine: &MachineId, job: &JobId) {
+    /// Removes the failures of a crash-looping job from a machine, and lifts its quarantine if too few failed jobs
+    /// remain.
+    fn remove_attributed_failure(&mut self, machine: &MachineId, job: &JobId) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
@@ -89,9 +94,11 @@
         }
     }
 
-    /// A task of the job completed: it is not crash-looping, so that the machines where it failed are.
+    /// Records that a task of the job completed. If the job counted as crash-looping, its failures are attributed to
+    /// the machines where it failed instead.
     ///
-    /// Guards against taking a good job that met only faulty machines for broken, and them for good.
+    /// Without this, a job that was placed only on faulty machines would keep counting as faulty, and the machines as
+    /// healthy.
     pub(super) fn on_task_success(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -157,7 +157,7 @@
         self.release(&task.job, task.index);
         self.requeue(&task.job, now);
         match cause {
-            Some(ExitCause::Error) => self.task_failed(task, machine, now),
+            Some(ExitCause::Error) => self.on_task_failure(task, machine, now),
             Some(ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown) => {
                 if let Some(job) = self.jobs.get_mut(&task.job) {
                     job.next_try = now + REFUSED_BACKOFF;
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -16,12 +16,14 @@
 /// Maximum number of planning steps for waiting tasks, each of which assigns tasks to one machine. The limit is
 /// [`MAX_PLAN_STEPS_PER_MACHINE`] for each machine if that is more.
 const MAX_PLAN_STEPS: usize = 10_000;
+/// Planning steps per machine that raise [`MAX_PLAN_STEPS`] for large fleets.
 const MAX_PLAN_STEPS_PER_MACHINE: usize = 4;
 /// Maximum number of waiting tasks for which no extra machines are provisioned, however few tasks are running.
 const RAMP_UP_THRESHOLD_TASKS: usize = 16;
 
 /// Key of a bin in an index: its free processors, accelerators and memory.
 type IndexKey = [i64; 3];
+/// Finds the first bin of each kind with enough free resources.
 type Index = FirstFitByKind<3, KINDS>;
 
 /// The bins that a job may use. Each kind has its own index.
@@ -72,10 +74,10 @@
 
 impl Bin {
     /// Creates the bin of an empty machine that is being provisioned or is to be provisioned.
-    fn provisioned(pool: Pool, free: Resources, is_new: bool) -> Bin {
+    fn provisioned(pool: Pool, total: Resources, is_new: bool) -> Bin {
         Bin {
             pool,
-            free,
+            free: total,
             slots: MAX_TASKS_PER_MACHINE,
             is_new,
             waits_for_tasks: false,
@@ -326,7 +328,7 @@
                 && !m.is_gone
                 && self
                     .provisioning_times
-                    .is_provisioned_soon(m, &self.machine_types, now);
+                    .counts_as_incoming(m, &self.machine_types, now);
             let mut free = m.free();
             let mut is_freed_by_tasks = false;
             let mut waits_for_tasks = false;
