--- a/src/scheduler/failure_detection/controllers.rs
+++ b/src/scheduler/failure_detection/controllers.rs
@@ -1,7 +1,7 @@
 //! Reachability of the other controllers, at present and in the recent past.
 
 use super::super::ControllerStatus;
-use super::{CONTACT_DELAY, Machine, Micros, PARTITION_HOLD_DOWN, Timeouts};
+use super::{CONTACT_REPORT_DELAY, Machine, Micros, PARTITION_HOLD_DOWN, Timeouts};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The reachability of the other controllers from this one.
@@ -94,10 +94,10 @@
     pub(super) fn is_partitioned(&self, m: &Machine, timeouts: Timeouts, now: Micros) -> bool {
         let is_unreachable_now = |node: &str| {
             let at = self.unreachable.get(node);
-            at.is_some_and(|at| now.since(*at) < CONTACT_DELAY)
+            at.is_some_and(|at| now.since(*at) < CONTACT_REPORT_DELAY)
         };
         let reports_contacts = |node: &str| {
-            let limit = timeouts.heartbeat_interval.scaled(2, 1) + CONTACT_DELAY;
+            let limit = timeouts.heartbeat_interval.scaled(2, 1) + CONTACT_REPORT_DELAY;
             let at = self.last_contacts.get(node);
             at.is_some_and(|at| now.since(*at) < limit)
         };
--- a/src/scheduler/failure_detection/mod.rs
+++ b/src/scheduler/failure_detection/mod.rs
@@ -40,12 +40,12 @@
 use std::collections::BTreeMap;
 
 /// Time in which a worker gives up on a controller that does not answer and tries the next one.
-const WORKER_RECONNECT: Micros = Micros::secs(5);
+const WORKER_RECONNECT_TIME: Micros = Micros::secs(5);
 /// Maximum time until another controller has reported its contact with a machine to the leader.
-const CONTACT_DELAY: Micros = Micros::secs(2);
+const CONTACT_REPORT_DELAY: Micros = Micros::secs(2);
 /// How long a controller or path still counts as impaired after it has recovered: workers need time to reconnect.
 const PARTITION_HOLD_DOWN: Micros = Micros::secs(10);
-/// Part of the heartbeat timeout that is added to 5/4 of the heartbeat interval.
+/// Added to 5/4 of the heartbeat interval to get the heartbeat timeout.
 const HEARTBEAT_SLACK: Micros = Micros::secs(1);
 
 type Machines = BTreeMap<MachineId, Machine>;
@@ -69,7 +69,7 @@
         Timeouts {
             heartbeat_interval: config.heartbeat_interval,
             heartbeat,
-            two_reconnects: heartbeat + WORKER_RECONNECT.scaled(2, 1),
+            two_reconnects: heartbeat + WORKER_RECONNECT_TIME.scaled(2, 1),
             lease_expiry: config.lease + heartbeat,
         }
     }
@@ -86,7 +86,7 @@
 }
 
 impl FailureDetector {
-    /// Returns whether all controllers were reachable from each other at the last observation.
+    /// Returns whether all controllers were reachable, from this one and from each other, at the last observation.
     pub(super) fn is_stable(&self) -> bool {
         self.controllers.stable_since().is_some()
     }
--- a/src/scheduler/failure_detection/suspicion.rs
+++ b/src/scheduler/failure_detection/suspicion.rs
@@ -3,8 +3,8 @@
 
 use super::controllers::ControllerReachability;
 use super::{
-    CONTACT_DELAY, FailureDetector, Machine, MachineId, MachineState, Machines, Micros, Timeouts,
-    WORKER_RECONNECT,
+    CONTACT_REPORT_DELAY, FailureDetector, Machine, MachineId, MachineState, Machines, Micros,
+    Timeouts, WORKER_RECONNECT_TIME,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -101,11 +101,11 @@
         } else if self.detector.paths.is_stopped(m)
             || (!self.is_stable && controllers.is_path_impaired(m))
         {
-            t.two_reconnects + CONTACT_DELAY
+            t.two_reconnects + CONTACT_REPORT_DELAY
         } else if self.is_stable {
             t.heartbeat + CONTROLLER_DETECTION_TIME
         } else {
-            t.heartbeat + WORKER_RECONNECT + CONTACT_DELAY
+            t.heartbeat + WORKER_RECONNECT_TIME + CONTACT_REPORT_DELAY
         }
     }
 
@@ -121,7 +121,7 @@
             let count = by_controller.entry(&m.via).or_default();
             count.add(false, is_overdue(m));
         }
-        let max_grace_period = self.timeouts.two_reconnects + CONTACT_DELAY;
+        let max_grace_period = self.timeouts.two_reconnects + CONTACT_REPORT_DELAY;
         let is_suspect = |m: &Machine| {
             let below_threshold = by_controller[m.via.as_str()].is_below_threshold(false);
             is_overdue(m) && (below_threshold || self.time_since_contact(m) > max_grace_period)
@@ -131,11 +131,12 @@
     }
 }
 
-/// Number of machines and number of suspects among them, both including machines that failed recently.
+/// Number of machines and number of suspects among them.
 #[derive(Debug, Default)]
 struct SuspectCount {
     machines: usize,
-    /// Suspected on-demand machines, then suspected spot machines.
+    /// Number of suspected on-demand machines and number of suspected spot machines. Counts by controller do not
+    /// distinguish the two and use the first number only.
     suspected: [usize; 2],
 }
 
@@ -152,7 +153,7 @@
     }
 }
 
-/// Counts of machines and suspects, by zone and in total.
+/// Counts of machines and suspects, by zone and in total. Both include the machines that failed recently.
 struct SuspectTally<'a> {
     by_zone: BTreeMap<&'a str, SuspectCount>,
     total: SuspectCount,
@@ -181,7 +182,8 @@
     }
 
     /// Returns whether a suspect counts as failed rather than partitioned: either few machines of its kind are
-    /// suspected, or it is one of many spot machines that the cloud preempted at once.
+    /// suspected, or it is a spot machine and the on-demand machines in its zone are in contact, as is the case when
+    /// the cloud preempts many spot machines at once.
     fn is_explained_by_failures(
         &self,
         m: &Machine,
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -229,12 +229,12 @@
         }
     }
 
-    /// Records a machine list. `asked_at` is the time when its first page was requested; the list may be out of date by
-    /// the configured lag.
-    pub fn on_list(&mut self, list: &[Listed], asked_at: Micros) {
+    /// Records a machine list. `requested_at` is the time when its first page was requested; the list may be out of
+    /// date by the configured lag.
+    pub fn on_list(&mut self, list: &[Listed], requested_at: Micros) {
         let lag = self.config.list_lag;
         self.fleet.is_list_read = true;
-        self.observe_list_in_rebuild(asked_at);
+        self.observe_list_in_rebuild(requested_at);
         let mut listed = HashSet::new();
         for entry in list {
             listed.insert(&entry.machine);
@@ -247,15 +247,15 @@
                 &entry.machine_type,
                 &entry.zone,
                 entry.spot,
-                asked_at,
+                requested_at,
             );
             let Some(m) = self.machines.get_mut(&entry.machine) else {
                 continue;
             };
             if !was_known {
-                m.provisioned_at = asked_at.since(Micros::from_secs_f64(entry.age_s));
+                m.provisioned_at = requested_at.since(Micros::from_secs_f64(entry.age_s));
             }
-            m.first_listed_at.get_or_insert(asked_at);
+            m.first_listed_at.get_or_insert(requested_at);
             m.listed_running = entry.status == ListedStatus::Running;
             if entry.status == ListedStatus::Failed && !m.is_gone {
                 m.is_gone = true;
@@ -265,7 +265,7 @@
             // A list may be older than the one before it, by at most twice the lag. Only a machine older than that is
             // known to be gone if the list does not contain it.
             let is_old_enough =
-                asked_at.since(m.provisioned_at) > lag.scaled(3, 1) + Micros::secs(1);
+                requested_at.since(m.provisioned_at) > lag.scaled(3, 1) + Micros::secs(1);
             // Without this, a new leader would take machines that the earlier one provisioned and terminated for
             // machines that are slow to provision. Those that still exist are listed by this age.
             let never_reported = m.newest_heartbeat.is_none() && !m.is_provisioned_by_this_term;
@@ -304,8 +304,8 @@
         overdue.into_keys().collect()
     }
 
-    /// Marks machines that were idle long enough for termination, as long as the free places of the reserve remain.
-    /// Considers on-demand machines first, then those with the highest ids.
+    /// Marks drained machines for termination, and machines that were idle long enough as far as the reserve keeps its
+    /// free places. Considers on-demand machines before spot machines, and higher ids before lower ones.
     fn scale_in_idle(&mut self, reserve: Option<&Reserve>, now: Micros) {
         let mut surplus_places = match reserve {
             Some(reserve) => self
@@ -353,8 +353,9 @@
         }
     }
 
-    /// Returns how long an idle machine is kept: if not configured, an eighth of its provisioning time, or all of it
-    /// after recent latency-sensitive work that could use the machine, for which a new machine would come too late.
+    /// Returns how long an idle machine is kept. Unless configured, this is an eighth of its provisioning time, or all
+    /// of it after recent latency-sensitive work that could use the machine, for which a new machine would come too
+    /// late.
     ///
     /// The demand is counted separately for spot and on-demand machines. Otherwise on-demand machines, at about three
     /// times the price, would be kept for work that may run on spot machines.
--- a/src/scheduler/provisioning_times.rs
+++ b/src/scheduler/provisioning_times.rs
@@ -113,7 +113,8 @@
         self.zones.get(name).copied().unwrap_or_default()
     }
 
-    /// Records that a machine became ready (`is_ready`) or timed out. Machines provisioned by an earlier leader are ignored.
+    /// Records that a machine became ready (`is_ready`) or timed out. Machines provisioned by an earlier leader are
+    /// ignored.
     pub(super) fn observe(
         &mut self,
         m: &Machine,
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -68,7 +68,7 @@
     slots: usize,
     /// Whether this plan adds the machine, rather than it being provisioned already.
     is_new: bool,
-    /// Whether some of the free resources are available only after running tasks have ended.
+    /// Whether some of the free resources become available only when running tasks end that are not being stopped.
     waits_for_tasks: bool,
 }
 
@@ -249,7 +249,7 @@
         scale_out
     }
 
-    /// Adds capacity to the plan for more tasks like those of a job.
+    /// Assigns `places` more tasks like those of a job to bins, adding machines to the plan as needed.
     fn plan_places(&self, spec: &Rc<JobSpec>, places: usize, plan: &mut Plan, now: Micros) {
         let job = Job::new(spec.clone(), 0, None, Micros::ZERO);
         let no_tasks_by_zone = BTreeMap::new();
