--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -176,7 +176,7 @@
     pub(super) fn new(machines: &BTreeMap<MachineId, Machine>, smallest: &Resources) -> Candidates {
         let fitting = machines
             .iter()
-            .filter(|(_, m)| m.takes_offers() && m.free().holds(smallest));
+            .filter(|(_, m)| m.accepts_offers() && m.free().holds(smallest));
         let machines: Vec<Candidate> = fitting.map(|(id, m)| Candidate::new(id, m)).collect();
         Candidates {
             index: Index::new(machines.len()),
--- a/src/scheduler/commands.rs
+++ b/src/scheduler/commands.rs
@@ -69,17 +69,17 @@
         position: HeartbeatPosition,
         now: Micros,
     ) -> Vec<AgentCommand> {
-        let newest = self.machines.get(machine).and_then(|m| m.newest);
+        let newest = self.machines.get(machine).and_then(|m| m.newest_heartbeat);
         if newest == Some(position) {
             self.task_to_move(machine, now);
         }
         let Some(m) = self.machines.get(machine) else {
             return Vec::new();
         };
-        if m.newest != Some(position) {
+        if m.newest_heartbeat != Some(position) {
             return Vec::new();
         }
-        let accepts_starts = m.takes_offers();
+        let accepts_starts = m.accepts_offers();
         let placed: Vec<TaskId> = m.reserved.keys().cloned().collect();
         let mut response = HeartbeatResponse::default();
         self.clear_exited(m, &mut response);
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -207,7 +207,7 @@
     fn count_free_places(&self, spec: &JobSpec) -> usize {
         self.machines
             .values()
-            .filter(|m| m.takes_offers() && spec.allows(&m.machine_type, &m.zone, m.spot))
+            .filter(|m| m.accepts_offers() && spec.allows(&m.machine_type, &m.zone, m.spot))
             .map(|m| m.free().count_of(&spec.need()).min(1_000))
             .sum()
     }
@@ -215,7 +215,7 @@
     fn targets(&self) -> Targets<'_> {
         self.count_steps(self.machines.len());
         let mut by_image: HashMap<&str, Vec<(&MachineId, &Machine)>> = HashMap::new();
-        let has_free_cores = |m: &Machine| m.takes_offers() && m.free().cores > 0;
+        let has_free_cores = |m: &Machine| m.accepts_offers() && m.free().cores > 0;
         for (id, m) in self.machines.iter().filter(|(_, m)| has_free_cores(m)) {
             for (image, _) in &m.images {
                 by_image.entry(image).or_default().push((id, m));
@@ -268,7 +268,7 @@
         required: &Resources,
         from_zone: &str,
     ) -> bool {
-        m.takes_offers()
+        m.accepts_offers()
             && m.free().holds(required)
             && m.has_image(&job.spec.image)
             && job.allows(&m.machine_type, &m.zone, m.spot)
@@ -290,7 +290,7 @@
         let job = self.movable_job(&task)?;
         let need = job.spec.need();
         let min_heartbeat_gap = self.config.heartbeat_interval.scaled(3, 4);
-        let since_report = |m: &Machine| now.since(m.reported_at);
+        let since_report = |m: &Machine| now.since(m.last_heartbeat_at);
         let reports_in_time = |m: &Machine| {
             since_report(m) + HANDOVER_TIME <= min_heartbeat_gap
                 && since_report(m) + HANDOVER_TIME.scaled(2, 1) >= min_heartbeat_gap.scaled(1, 2)
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -84,7 +84,7 @@
         let mut machines = std::mem::take(&mut self.fair_share.machines);
         let starved_jobs: HashSet<&JobId> = starved.iter().collect();
         machines.retain(|id, job| {
-            let takes_offers = self.machines.get(id).is_some_and(Machine::takes_offers);
+            let takes_offers = self.machines.get(id).is_some_and(Machine::accepts_offers);
             takes_offers && starved_jobs.contains(job)
         });
         let mut reserved_count: HashMap<JobId, usize> = HashMap::new();
@@ -137,7 +137,7 @@
             .and_then(|(m, _)| self.machines.get(m))
             .map(|m| &m.zone);
         let fits = |(machine_id, m): &(&MachineId, &Machine)| {
-            m.takes_offers()
+            m.accepts_offers()
                 && m.total.holds(&need)
                 && !reserved.contains_key(*machine_id)
                 && !(spec.together && zone.is_some_and(|z| *z != m.zone))
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -42,7 +42,10 @@
             heartbeat.spot,
             now,
         );
-        let newest = self.machines.get(&heartbeat.machine).and_then(|m| m.newest);
+        let newest = self
+            .machines
+            .get(&heartbeat.machine)
+            .and_then(|m| m.newest_heartbeat);
         if newest.is_some_and(|newest| heartbeat.position() <= newest) {
             return HeartbeatOutcome::default();
         }
@@ -71,8 +74,8 @@
         let Some(m) = self.machines.get_mut(&heartbeat.machine) else {
             return;
         };
-        m.newest = Some(heartbeat.position());
-        m.reported_at = now;
+        m.newest_heartbeat = Some(heartbeat.position());
+        m.last_heartbeat_at = now;
         m.is_reachable = true;
         m.expected_effects.clear();
         if m.via != via {
@@ -108,7 +111,7 @@
             machine_type: heartbeat.machine_type.clone(),
             zone: heartbeat.zone.clone(),
             spot: heartbeat.spot,
-            after: now.since(m.since),
+            after: now.since(m.provisioned_at),
         });
     }
 
@@ -117,8 +120,8 @@
         let Some(m) = self.machines.get_mut(&heartbeat.machine) else {
             return false;
         };
-        let is_first = heartbeat.notice_s.is_some() && m.notice.is_none();
-        m.notice = heartbeat.notice_s.map(|s| now + Micros::from_secs_f64(s));
+        let is_first = heartbeat.notice_s.is_some() && m.preemption_at.is_none();
+        m.preemption_at = heartbeat.notice_s.map(|s| now + Micros::from_secs_f64(s));
         is_first
     }
 
@@ -149,7 +152,7 @@
         let Some(m) = self.machines.get_mut(&heartbeat.machine) else {
             return;
         };
-        let Some(newest) = m.newest else {
+        let Some(newest) = m.newest_heartbeat else {
             return;
         };
         let token_behind = heartbeat.token < self.token;
@@ -161,7 +164,7 @@
         let same_controller = self.config.controllers > 1 && m.via == via;
         if token_behind || !same_controller && (epoch_ended || acknowledged == Some(false)) {
             m.unacknowledged_heartbeats += 1;
-            m.unacknowledged_at = now;
+            m.last_unacknowledged_at = now;
             if m.is_inbound_unreachable() {
                 self.events.push(SchedulerEvent::HeartbeatUnacknowledged {
                     machine: heartbeat.machine.clone(),
@@ -170,7 +173,7 @@
             }
         } else if same_controller
             || acknowledged == Some(true)
-            || now.since(m.unacknowledged_at) > window
+            || now.since(m.last_unacknowledged_at) > window
         {
             // If no response had arrived, the worker's lease would have expired by now.
             m.unacknowledged_heartbeats = 0;
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -141,7 +141,7 @@
     fn preemptible(&self, pending_free: &BTreeMap<MachineId, Resources>) -> Vec<MachineId> {
         self.count_steps(self.machines.len());
         let is_preemptible = |(id, m): &(&MachineId, &Machine)| {
-            m.takes_offers()
+            m.accepts_offers()
                 && (m.has_reserved_below(Priority::Critical) || pending_free.contains_key(*id))
         };
         let machines = self.machines.iter().filter(is_preemptible);
@@ -168,7 +168,7 @@
             let Some(m) = self.machines.get(machine) else {
                 continue;
             };
-            if !m.takes_offers()
+            if !m.accepts_offers()
                 || !m.total.holds(&need)
                 || !self.accepts(id, machine)
                 || (with_image && !m.has_image(&spec.image))
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -32,7 +32,7 @@
         let context = HeartbeatContext {
             position: heartbeat.position(),
             shows_token: heartbeat.token == self.token,
-            answers_arrive: !m.is_suspect(),
+            answers_arrive: !m.is_inbound_suspect(),
         };
         self.count_steps(reserved.len() + heartbeat.tasks.len());
         let mut changed = false;
@@ -160,7 +160,7 @@
         self.release(&task.job, task.index);
         self.requeue(&task.job, now);
         match cause {
-            Some(ExitCause::Error) => self.task_failed(task, machine, now),
+            Some(ExitCause::Error) => self.on_task_failure(task, machine, now),
             Some(ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown) => {
                 if let Some(job) = self.jobs.get_mut(&task.job) {
                     job.next_offer_at = now + START_REFUSED_BACKOFF;
--- a/src/scheduler/reserve.rs
+++ b/src/scheduler/reserve.rs
@@ -77,7 +77,11 @@
     /// Returns whether a job is an array whose objectives allow it to wait for less time than it takes to provision a
     /// machine.
     pub(super) fn is_latency_sensitive(&self, spec: &JobSpec) -> bool {
-        let Some(provisioning_time) = self.machine_types.values().map(MachineType::boot).min()
+        let Some(provisioning_time) = self
+            .machine_types
+            .values()
+            .map(MachineType::provisioning_time)
+            .min()
         else {
             return false;
         };
@@ -150,7 +154,11 @@
             let places = configured as usize;
             return Some(Reserve { template, places });
         }
-        let provisioning_time = self.machine_types.values().map(MachineType::boot).min()?;
+        let provisioning_time = self
+            .machine_types
+            .values()
+            .map(MachineType::provisioning_time)
+            .min()?;
         let max_start_delay = self.config.max_start_delay.get(&template.class)?;
         if provisioning_time < *max_start_delay {
             return None;
