--- a/src/election.rs
+++ b/src/election.rs
@@ -1,5 +1,5 @@
-//! Leader election: the leader is the holder of the leader key, which hangs on a lease; the key's version is the fencing
-//! token.
+//! Leader election: the leader is the controller named in the leader key, which is attached to a lease of the key-value
+//! store. The fencing token derives from the key's version.
 
 use crate::clock::{Clock, sleep};
 use crate::kv::{Change, Condition, KvClient, KvError, LeaseId, Lookup, Outcome, Urgency};
@@ -13,31 +13,31 @@
 use log::{debug, info};
 use std::rc::Rc;
 
-/// How often a controller checks whether there is a leader, beside every change of the view.
+/// Interval at which a controller checks whether there is a leader, in addition to the check on every change of the view.
 const ELECTION_CHECK_INTERVAL: Micros = Micros::millis(500);
-/// How long a new leader waits for its view to hold everything before its own election.
+/// Maximum time for which a newly elected leader waits until its view includes its own election.
 const CATCH_UP_TIMEOUT: Micros = Micros::secs(2);
 
-/// The conditions and writes with which a controller takes the leader key.
+/// The transaction with which a controller acquires the leader key.
 struct Campaign {
     record: LeaderRecord,
     conditions: Vec<Condition>,
     writes: Vec<Change>,
 }
 
-/// One controller's part in elections.
+/// Campaigns for the leader key on behalf of one controller, and renews the leader lease.
 pub struct Election {
     clock: Clock,
     kv: Rc<KvClient>,
     store: Rc<StateCache>,
     membership: Rc<Membership>,
     state_loss: Rc<StateLossRecovery>,
-    /// Lifetime of the lease.
+    /// Time to live of the leader lease.
     ttl: Micros,
 }
 
 impl Election {
-    /// A controller that has not stood for election yet; `ttl` is the lifetime of the leader's lease.
+    /// Creates the election of one controller; `ttl` is the time to live of the leader lease.
     pub fn new(
         kv: Rc<KvClient>,
         store: Rc<StateCache>,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Waits until this controller is elected and its view holds all that went before.
+    /// Waits until this controller is elected and its view includes every revision up to its election.
     pub async fn acquire(&self) -> LeaderLease {
         loop {
             let changed = self.store.changed.listen();
@@ -70,8 +70,9 @@
                         return lease;
                     }
                 }
-                // A key of this node that this process does not lead by is its former self's, or a term just given up:
-                // its lease need not run out first.
+                // The leader key names this node although this process is not leading: the key was written by an earlier
+                // process on this node, or in a term that has just ended. Revoking its lease frees the key without
+                // waiting for the lease to expire.
                 Some(Some(record)) if record.node == self.membership.node() => {
                     let revoked = self.kv.revoke(record.lease).await;
                     debug!("event=stale_lease_revoked good={}", revoked.is_ok());
@@ -85,19 +86,19 @@
         }
     }
 
-    /// One try to take the free leader key.
+    /// Tries once to acquire the leader key; returns `None` if this controller was not elected.
     async fn campaign(&self) -> Option<LeaderLease> {
         let requested_at = self.clock.now();
         let lease = self.kv.grant(self.ttl).await.ok()?;
         let losses_found = self.store.losses_found();
         let campaign = self.prepare_campaign(lease);
-        let revision = self.take_leader_key(&campaign).await;
+        let revision = self.write_leader_key(&campaign).await;
         let Some(revision) = revision else {
             let _ = self.kv.revoke(lease).await;
             return None;
         };
-        let is_known = self.is_revision_of_lost_leader(revision);
-        if is_known
+        let is_reused_version = self.is_version_from_before_loss(revision);
+        if is_reused_version
             || !self
                 .store
                 .wait_for_revision(revision, CATCH_UP_TIMEOUT)
@@ -130,7 +131,7 @@
             StoreKey::Leader.put_with_lease(&record, lease),
             StoreKey::Term.put(&node),
         ];
-        // A loss that is to be rebuilt is written down together with who rebuilds it.
+        // A state loss that is to be rebuilt is recorded in the transaction that elects the leader who rebuilds it.
         if let Some(loss) = self.state_loss.loss_to_rebuild() {
             let view = self.store.view.borrow();
             let version = view.loss.as_ref().map_or(Revision::NONE, |l| l.version);
@@ -144,8 +145,8 @@
         }
     }
 
-    /// Writes the leader key; returns its version where that certainly succeeded.
-    async fn take_leader_key(&self, campaign: &Campaign) -> Option<Revision> {
+    /// Writes the leader key; returns its version if the write is known to be applied.
+    async fn write_leader_key(&self, campaign: &Campaign) -> Option<Revision> {
         let Campaign {
             record,
             conditions,
@@ -154,8 +155,8 @@
         match self.kv.txn(Urgency::Now, conditions, writes).await {
             Ok(Outcome::Applied(revision)) => Some(revision),
             Ok(Outcome::Conflict(_)) | Err(KvError::Refused(_)) => None,
-            // It may have been applied: the key tells. If it is applied later, the lease has ended by then or the view
-            // shows this node as the holder, and the lease is ended.
+            // The outcome is unknown, so the key is read back. If the transaction is applied after that read, either its
+            // lease has expired by then, or the view shows this node as the holder and `acquire` revokes the lease.
             Err(_) => {
                 let key = StoreKey::Leader.to_string();
                 match self.kv.get(Urgency::Now, &key).await {
@@ -166,17 +167,18 @@
         }
     }
 
-    /// Whether the leader key had this version before a loss of stored state.
+    /// Returns whether the leader key had this version before a loss of stored state.
     ///
-    /// Guards against a late write of a leader from before a loss, which would find its own version of the key again.
-    fn is_revision_of_lost_leader(&self, revision: Revision) -> bool {
+    /// Versions can repeat after a loss. A leader elected at such a version must not lead: a delayed write of the leader
+    /// from before the loss would still meet its condition on the leader key.
+    fn is_version_from_before_loss(&self, revision: Revision) -> bool {
         let loss = self.store.loss.borrow();
         let snapshot = loss.as_ref().and_then(|loss| loss.snapshot.as_ref());
         let leader = snapshot.and_then(|view| view.leader.as_ref());
         leader.is_some_and(|leader| leader.version == revision)
     }
 
-    /// Renews the lease until it is lost or another controller leads; returns why.
+    /// Renews the lease until it is lost, stored state is lost or another controller leads; returns the reason.
     pub async fn hold(&self, lease: &LeaderLease) -> TermEnd {
         let mut is_outage_logged = false;
         loop {
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Gives the leadership up, so that the next leader need not wait for the lease to expire.
+    /// Revokes the lease, so that the next election does not have to wait for it to expire.
     pub async fn resign(&self, lease: &LeaderLease) {
         let _ = self.kv.revoke(lease.id).await;
     }
--- a/src/fencing.rs
+++ b/src/fencing.rs
@@ -1,13 +1,13 @@
-//! The fencing token: what keeps a deposed leader from being obeyed.
+//! The fencing token, by which agents and controllers reject commands of a deposed leader.
 
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The number of a leader's term; a higher one is newer.
+/// The number of a leader term; a newer term has a higher token.
 ///
-/// It is the revision of the leader key, plus a base after a loss of stored state. Agents drop answers with a lower token
-/// than the highest that they have seen. In JSON and in frames it is a plain number.
+/// It is the version of the leader key, plus a base after a loss of stored state. Agents discard answers with a token lower
+/// than the highest they have received. In JSON and in frames it is a plain number.
 #[derive(
     Debug,
     Clone,
@@ -26,7 +26,7 @@
 pub struct FencingToken(pub u64);
 
 impl FencingToken {
-    /// The token that is below all others: nobody has led yet, as far as is known.
+    /// The lowest token: no leader term is known.
     pub const NONE: FencingToken = FencingToken(0);
 }
 
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,4 +1,4 @@
-//! What this controller knows of the others: which are reachable, what each said last, and who leads.
+//! This controller's view of its peers: which are reachable, the last status each reported, and which controller leads.
 
 use crate::clock::Clock;
 use crate::config::{Member, Platform};
@@ -11,47 +11,47 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A controller that did not answer for this long may be down.
+/// A peer that has not answered a ping for this long counts as unreachable.
 const PEER_TIMEOUT: Micros = Micros::millis(2_200);
-/// How long what another controller said of the state service counts.
+/// How long a peer's report that it reaches the key-value store stays valid.
 const PEER_STATUS_VALIDITY: Micros = Micros::secs(4);
 
-/// What another controller said last.
+/// The last status that a peer reported.
 #[derive(Debug, Clone, Default)]
 struct PeerStatus {
     cluster_status: ClusterStatus,
     received_at: Micros,
-    /// Whether a ping failed since.
+    /// Whether a ping to the peer has failed since then.
     has_failed: bool,
 }
 
-/// The controllers of the deployment as this one sees them.
+/// The controllers of the deployment as seen by this one.
 ///
-/// Invariants: the fencing token in [`Membership::cluster_status`] never falls while the process lives, unless the view
-/// that gave it is replaced after a loss of stored state; a peer counts as reachable only if its last ping was answered,
-/// and lately.
+/// Invariants: the fencing token in [`Membership::cluster_status`] never decreases during the life of the process, unless
+/// the view it came from is replaced after a loss of stored state; a peer counts as reachable only if its last ping was
+/// answered less than 2.2 s ago.
 pub struct Membership {
     clock: Clock,
     node: String,
     zone: String,
     members: Vec<Member>,
     store: Rc<StateCache>,
-    /// Drawn anew by every process.
+    /// Random number that identifies this process.
     incarnation: u64,
     started_at: Micros,
-    /// The fencing token of this controller's own term, while it leads.
+    /// The fencing token of this controller's own term; `None` while it does not lead.
     own_term: Cell<Option<FencingToken>>,
-    /// The highest fencing token that any peer told.
-    highest_token_seen: Cell<FencingToken>,
-    /// When a peer last said that it misses another.
+    /// The highest fencing token reported by any peer.
+    highest_peer_token: Cell<FencingToken>,
+    /// When a peer last reported that it can't reach another controller.
     partition_reported_at: Cell<Micros>,
     peer_statuses: RefCell<BTreeMap<String, PeerStatus>>,
-    /// Peers to which nothing is relayed for now, and until when.
+    /// Peers to which nothing is relayed, with the time at which relaying resumes.
     suspended_routes: RefCell<BTreeMap<String, Micros>>,
 }
 
 impl Membership {
-    /// A controller that has not heard from any other yet.
+    /// Creates the membership of a controller that has not received a status from any peer.
     pub fn new(platform: &Platform, store: Rc<StateCache>) -> Membership {
         Membership {
             clock: Clock,
@@ -62,57 +62,57 @@
             incarnation: fastrand::u64(..) >> 12,
             started_at: Clock.now(),
             own_term: Cell::new(None),
-            highest_token_seen: Cell::new(FencingToken::NONE),
+            highest_peer_token: Cell::new(FencingToken::NONE),
             partition_reported_at: Cell::new(Micros::ZERO),
             peer_statuses: RefCell::default(),
             suspended_routes: RefCell::default(),
         }
     }
 
-    /// The name of this controller.
+    /// Returns the name of this controller, which is unique in the deployment.
     pub fn node(&self) -> &str {
         &self.node
     }
 
-    /// The zone of this controller.
+    /// Returns the zone in which this controller runs.
     pub fn zone(&self) -> &str {
         &self.zone
     }
 
-    /// The other controllers.
+    /// Returns the configured peers: all controllers of the deployment except this one.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// The names of all controllers, this one's last.
+    /// Returns the names of all controllers, with this controller's name last.
     pub fn all_nodes(&self) -> impl Iterator<Item = &String> {
         self.members.iter().map(|m| &m.node).chain([&self.node])
     }
 
-    /// A number drawn anew by every process, so that a restarted controller is not taken for its former self.
+    /// Returns the random number that identifies this process, by which peers notice that a controller was restarted.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// How long this process has been running.
+    /// Returns how long this process has been running.
     pub fn uptime(&self) -> Micros {
         self.clock.now().since(self.started_at)
     }
 
-    /// Sets the fencing token of this controller's own term, or that it leads no more.
+    /// Sets the fencing token of this controller's own term; `None` when the term has ended.
     pub fn set_own_term(&self, token: Option<FencingToken>) {
         self.own_term.set(token);
     }
 
-    /// Whether this controller leads, with or without a valid lease.
+    /// Returns whether this controller leads, even if its lease may have expired.
     pub fn is_leading(&self) -> bool {
         self.own_term.get().is_some()
     }
 
-    /// Returns what is known of who leads: from this controller's own term, its view and the other controllers.
+    /// Returns the newest known leader term, from this controller's own term, its view and the statuses of its peers.
     pub fn cluster_status(&self) -> ClusterStatus {
-        let mut best = ClusterStatus {
-            token: self.highest_token_seen.get(),
+        let mut newest = ClusterStatus {
+            token: self.highest_peer_token.get(),
             leader: None,
             state_reachable: self.store.reachable(),
             peer_unreachable: !self.all_reachable(),
@@ -120,9 +120,9 @@
             leads: self.is_leading(),
         };
         let mut consider = |token: FencingToken, leader: Option<&str>| {
-            if token > best.token || (token == best.token && best.leader.is_none()) {
-                best.token = token;
-                best.leader = leader.map(str::to_owned);
+            if token > newest.token || (token == newest.token && newest.leader.is_none()) {
+                newest.token = token;
+                newest.leader = leader.map(str::to_owned);
             }
         };
         if let Some(token) = self.own_term.get() {
@@ -139,26 +139,26 @@
                 status.cluster_status.leader.as_deref(),
             );
         }
-        best
+        newest
     }
 
-    /// Takes in what another controller knows, whichever message brought it.
+    /// Records the fencing token and the partition report of a status received in any frame from a peer.
     pub fn observe(&self, cluster_status: &ClusterStatus) {
-        let token = self.highest_token_seen.get().max(cluster_status.token);
-        self.highest_token_seen.set(token);
+        let token = self.highest_peer_token.get().max(cluster_status.token);
+        self.highest_peer_token.set(token);
         if cluster_status.peer_unreachable {
             self.partition_reported_at.set(self.clock.now());
         }
     }
 
-    /// Records the answer of a peer to a ping: it is reachable, and so is the route to it.
+    /// Records that a peer answered a ping, which also ends the suspension of the route to it.
     pub fn record_ping_answered(&self, peer: &str, cluster_status: ClusterStatus) {
         self.observe(&cluster_status);
         self.record_peer_status(peer, cluster_status);
         self.suspended_routes.borrow_mut().remove(peer);
     }
 
-    /// Records that a ping of a peer failed.
+    /// Records that a ping to a peer failed.
     pub fn record_ping_failed(&self, peer: &str) {
         if let Some(status) = self.peer_statuses.borrow_mut().get_mut(peer) {
             status.has_failed = true;
@@ -176,20 +176,22 @@
             .insert(peer.to_owned(), status);
     }
 
-    /// As if a peer had never been heard from; all of them where none is named.
+    /// Removes the recorded status of a peer, or of all peers if `peer` is `None`.
     #[cfg(test)]
     pub(crate) fn forget_peers(&self, peer: Option<&str>) {
         let mut statuses = self.peer_statuses.borrow_mut();
         statuses.retain(|node, _| peer.is_some_and(|p| p != node));
     }
 
-    /// Whether every other controller said something since this process began.
-    pub fn has_heard_all_peers(&self) -> bool {
+    /// Returns whether every peer has reported its status since this process started.
+    pub fn has_status_of_all_peers(&self) -> bool {
         let statuses = self.peer_statuses.borrow();
         self.members.iter().all(|m| statuses.contains_key(&m.node))
     }
 
-    /// Whether another controller answered lately. One that lacks only the state service relays heartbeats as ever.
+    /// Returns whether a peer answered its last ping within the timeout.
+    ///
+    /// A peer that only lost the key-value store still counts as reachable, since it can still relay heartbeats.
     pub fn is_peer_reachable(&self, node: &str) -> bool {
         let now = self.clock.now();
         let statuses = self.peer_statuses.borrow();
@@ -201,19 +203,19 @@
         self.members.iter().all(|m| self.is_peer_reachable(&m.node))
     }
 
-    /// Whether another controller said lately that it misses one, though this one may reach all.
+    /// Returns whether a peer recently reported that it can't reach some controller, even if this one reaches all.
     pub fn peer_reports_partition(&self) -> bool {
         self.clock.now().since(self.partition_reported_at.get()) < PEER_TIMEOUT
     }
 
-    /// Whether this controller reaches neither the state service nor any other controller.
+    /// Returns whether this controller reaches neither the key-value store nor any peer; false without peers.
     pub fn is_isolated(&self) -> bool {
-        let has_others = !self.members.is_empty();
+        let has_peers = !self.members.is_empty();
         let any_reachable = || self.members.iter().any(|m| self.is_peer_reachable(&m.node));
-        has_others && !self.store.reachable() && !any_reachable()
+        has_peers && !self.store.reachable() && !any_reachable()
     }
 
-    /// Whether a controller that leads, with or without a lease, answers: this one or another.
+    /// Returns whether this controller or a reachable peer leads, even if its lease may have expired.
     pub fn leader_reachable(&self) -> bool {
         let statuses = self.peer_statuses.borrow();
         let leads = |(node, status): (&String, &PeerStatus)| {
@@ -222,7 +224,7 @@
         self.is_leading() || statuses.iter().any(leads)
     }
 
-    /// Whether another controller said lately that it reaches the state service.
+    /// Returns whether a peer recently reported that it reaches the key-value store.
     pub fn peer_reaches_state(&self) -> bool {
         let now = self.clock.now();
         let statuses = self.peer_statuses.borrow();
@@ -231,17 +233,17 @@
         })
     }
 
-    /// A controller of the zone that answers, drawn at random, for a worker of the zone.
+    /// Returns a random reachable peer in the zone.
     pub fn peer_in_zone(&self, zone: &str) -> Option<String> {
-        let near: Vec<&Member> = self
+        let zone_members: Vec<&Member> = self
             .members
             .iter()
             .filter(|m| m.zone == zone && self.is_peer_reachable(&m.node))
             .collect();
-        fastrand::choice(near).map(|m| m.node.clone())
+        fastrand::choice(zone_members).map(|m| m.node.clone())
     }
 
-    /// The controllers, this one last, and which of them answer.
+    /// Returns all controllers with their reachability, this one last.
     pub fn controllers(&self) -> Vec<ControllerStatus> {
         let peers = self.members.iter().map(|m| ControllerStatus {
             node: m.node.clone(),
@@ -256,13 +258,13 @@
         peers.chain([own]).collect()
     }
 
-    /// Whether the direct route to a controller failed lately, so that nothing is relayed on it.
+    /// Returns whether relaying on the direct route to a peer is suspended after a failure.
     pub fn is_route_suspended(&self, peer: &str) -> bool {
         let until = self.suspended_routes.borrow().get(peer).copied();
         until.is_some_and(|t| t > self.clock.now())
     }
 
-    /// Relays nothing on the direct route to a controller for a while.
+    /// Suspends relaying on the direct route to a peer for `duration`.
     pub fn suspend_route(&self, peer: &str, duration: Micros) {
         let until = self.clock.now() + duration;
         self.suspended_routes
--- a/src/pause_detector.rs
+++ b/src/pause_detector.rs
@@ -1,22 +1,22 @@
-//! Detects that this process was paused: it heard nobody meanwhile, whoever spoke.
+//! Detects pauses of this process, during which it could not receive any message.
 
 use crate::units::Micros;
 use log::info;
 use std::cell::Cell;
 
-/// How often the check is made, besides those before decisions that depend on it.
+/// Interval of the periodic check, which is made in addition to the checks before decisions that depend on it.
 pub const PAUSE_CHECK_INTERVAL: Micros = Micros::millis(100);
-/// A check that is late by this means that the process was paused.
+/// The process counts as paused if the time between two checks exceeds this.
 const PAUSE_THRESHOLD: Micros = Micros::secs(1);
 
-/// Finds process pauses by the gaps between checks that ought to be frequent.
+/// Detects process pauses by unusually long gaps between frequent checks.
 pub struct PauseDetector {
     node: String,
     last_check: Cell<Micros>,
 }
 
 impl PauseDetector {
-    /// A detector for a controller whose first gap begins now.
+    /// Creates a detector for the controller `node`; the first gap is measured from `now`.
     pub fn new(node: &str, now: Micros) -> PauseDetector {
         PauseDetector {
             node: node.to_owned(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Returns how long the process was paused, if it was since the last check, and logs it.
+    /// Returns and logs the time since the last check if it exceeds the pause threshold.
     pub fn check(&self, now: Micros) -> Option<Micros> {
         let gap = now.since(self.last_check.replace(now));
         if gap <= PAUSE_THRESHOLD {
--- a/src/pause_detector/tests.rs
+++ b/src/pause_detector/tests.rs
@@ -2,7 +2,7 @@
 use crate::units::Micros;
 
 #[test]
-fn checks_that_are_a_little_late_are_no_pause() {
+fn slightly_late_checks_are_not_a_pause() {
     let detector = PauseDetector::new("n-1", Micros::secs(10));
     let mut now = Micros::secs(10);
     for late in [0, 50, 900] {
@@ -11,9 +11,9 @@
     }
 }
 
-// Guards against one pause that is held against machines twice.
+// A pause that is reported twice would be deducted twice from the time since the machines' last heartbeats.
 #[test]
-fn a_pause_is_found_once_with_its_length() {
+fn a_pause_is_reported_once_with_its_length() {
     let detector = PauseDetector::new("n-1", Micros::secs(10));
     assert_eq!(
         detector.check(Micros::millis(14_500)),
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,4 +1,4 @@
-//! Controllers among themselves: `bitcode` frames over TCP, one request and one reply at a time on a connection.
+//! The protocol between controllers: `bitcode` frames over TCP, with one request in flight per connection.
 
 mod client;
 mod frame;
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -1,4 +1,4 @@
-//! The connections of this controller to another one.
+//! The client side of the protocol between controllers, with a pool of idle connections per peer.
 
 use super::frame::{read_frame, write_frame};
 use super::messages::{ClusterStatus, Frame, PeerReply, PeerRequest};
@@ -11,34 +11,34 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// How long the side that asks keeps an idle connection: well below the other's, so that it does not write into one that
-/// ends.
+/// How long the client keeps an idle connection: well below the server's idle timeout, so that it does not send a request
+/// on a connection that the server is closing.
 const MAX_IDLE_AGE: Micros = Micros::secs(20);
 
-/// Why another controller gave no reply.
+/// The reason why a peer gave no reply.
 #[derive(Debug, Error)]
 pub enum PeerError {
-    /// The connection failed.
+    /// Connecting failed, the connection broke, or the reply could not be decoded.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The time ran out.
+    /// No reply came within the time limit of the call.
     #[error("timed out")]
     TimedOut,
 }
 
-/// Another controller.
+/// A client for one other controller.
 pub struct Peer {
-    /// Its name.
+    /// The name of the controller, as in the deployment's member list.
     pub node: String,
     addr: SocketAddr,
-    /// Idle connections and since when, the longest idle first.
+    /// Idle connections, each with the time at which it became idle, oldest first.
     idle: RefCell<Vec<(Micros, Stream)>>,
-    /// Idle connections that are kept at the most.
+    /// Maximum number of idle connections that are kept.
     max_idle: usize,
 }
 
 impl Peer {
-    /// One without connections.
+    /// Creates a client without connections; the first call opens one.
     pub fn new(node: String, addr: SocketAddr, max_idle: usize) -> Peer {
         Peer {
             node,
@@ -48,30 +48,31 @@
         }
     }
 
-    /// Sends a request and waits for the reply.
+    /// Sends a request and waits up to `time_limit` for the reply.
     ///
-    /// Guards against taking the end of a kept connection for a controller that does not answer: the request goes out
-    /// once more on a new one. It may be carried out twice, which for a heartbeat or a ping is harmless.
+    /// If the exchange on an idle connection fails, the request is sent again on a new connection, because the peer may
+    /// only have closed the idle one. The peer may then process the request twice, which is harmless for heartbeats and
+    /// pings.
     pub async fn call(
         &self,
         cluster_status: ClusterStatus,
         message: PeerRequest,
-        limit: Micros,
+        time_limit: Micros,
     ) -> Result<Frame<PeerReply>, PeerError> {
         let frame = Frame {
             cluster_status,
             message,
         };
         let work = async {
-            if let Some(kept) = self.take_idle()
-                && let Ok(reply) = self.exchange(kept, &frame).await
+            if let Some(idle_stream) = self.take_idle()
+                && let Ok(reply) = self.exchange(idle_stream, &frame).await
             {
                 return Ok(reply);
             }
-            let fresh = Stream::connect(self.addr).await?;
-            Ok(self.exchange(fresh, &frame).await?)
+            let new_stream = Stream::connect(self.addr).await?;
+            Ok(self.exchange(new_stream, &frame).await?)
         };
-        let result = timeout(limit, work)
+        let result = timeout(time_limit, work)
             .await
             .unwrap_or(Err(PeerError::TimedOut));
         if result.is_err() {
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: the length of the body in four bytes, the most significant first, and the body in `bitcode`.
+//! Frame encoding: the length of the body as a big-endian `u32`, followed by the body in `bitcode`.
 
 use super::messages::Frame;
 use crate::net::Stream;
@@ -7,17 +7,17 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::io;
 
-/// Bytes that a machine's name takes in a frame, with room to spare.
-const NAME_BYTES: usize = 32;
-/// The largest frame: the cancellation of a job of as many tasks as the protocol allows, each on a machine of its own. A
-/// heartbeat of 64 KiB stays well below.
-pub(super) const MAX_FRAME: usize = MAX_TASKS as usize * NAME_BYTES + 512 * 1024;
+/// Upper bound of the bytes that one machine name takes in a frame.
+const MAX_NAME_BYTES: usize = 32;
+/// Maximum body length in bytes: the cancellation of a job with the maximum number of tasks, each on a different machine,
+/// fits. A heartbeat of 64 KiB is far smaller.
+pub(super) const MAX_FRAME: usize = MAX_TASKS as usize * MAX_NAME_BYTES + 512 * 1024;
 
 /// Reads one frame.
 ///
 /// # Errors
 ///
-/// Fails where the connection does, and with `InvalidData` where a frame is too long or can't be decoded.
+/// Fails if the connection fails, and with `InvalidData` if the frame is too long or can't be decoded.
 pub(super) async fn read_frame<T: for<'a> Decode<'a>>(stream: &mut Stream) -> io::Result<Frame<T>> {
     let mut length = [0u8; 4];
     stream.read_exact(&mut length).await?;
@@ -25,7 +25,7 @@
     if length > MAX_FRAME {
         return Err(io::Error::new(io::ErrorKind::InvalidData, "frame too long"));
     }
-    // Room is taken as bytes come, not as they are announced.
+    // Memory is allocated as bytes arrive, so that a wrong length alone can't allocate the maximum.
     let mut bytes = Vec::new();
     let mut body = stream.take(length as u64);
     if body.read_to_end(&mut bytes).await? < length {
@@ -34,7 +34,7 @@
     bitcode::decode(&bytes).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e.to_string()))
 }
 
-/// Writes one frame.
+/// Writes one frame with a single write.
 pub(super) async fn write_frame<T: Encode>(
     stream: &mut Stream,
     frame: &Frame<T>,
--- a/src/peer/messages.rs
+++ b/src/peer/messages.rs
@@ -1,46 +1,46 @@
-//! What controllers tell each other.
+//! The messages between controllers.
 //!
-//! The layout of these types is the wire format: `bitcode` writes fields and variants in their order, without names. A
-//! field or variant that is added, removed or moved can't be read by controllers of another version.
+//! The layout of these types is the wire format: `bitcode` writes fields and variants in declaration order, without names.
+//! Controllers of another version can't read frames after a field or variant was added, removed or moved.
 
 use crate::fencing::FencingToken;
 use crate::scheduler::{AgentCommand, Heartbeat, JobId, MachineId};
 use bitcode::{Decode, Encode};
 
-/// What a controller knows of who leads; every frame carries it.
+/// What a controller knows about the leader and the reachability of others; part of every frame.
 #[derive(Debug, Clone, Default, PartialEq, Encode, Decode)]
 pub struct ClusterStatus {
-    /// The highest token known.
+    /// The highest fencing token that the sender knows.
     pub token: FencingToken,
-    /// Who holds it, if that is known and it is held.
+    /// The controller that holds this token; `None` if unknown or if no controller holds it.
     pub leader: Option<String>,
-    /// Whether the sender reaches the state service.
+    /// Whether the sender reaches the key-value store.
     pub state_reachable: bool,
-    /// Whether another controller does not answer the sender.
+    /// Whether at least one other controller does not answer the sender.
     pub peer_unreachable: bool,
-    /// Drawn anew by every process.
+    /// Random number that identifies the sender's process.
     pub incarnation: u64,
-    /// Whether the sender itself leads, with or without a lease.
+    /// Whether the sender leads, even if its lease may have expired.
     pub leads: bool,
 }
 
 /// A request to another controller.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub enum PeerRequest {
-    /// The knowledge, and what there is to tell of cancelled jobs.
+    /// A periodic exchange of cluster status and news about cancelled jobs.
     Ping {
-        /// Those that the receiver has not acknowledged yet.
+        /// Cancellations that the receiver has not acknowledged.
         cancelled: Vec<Cancellation>,
-        /// Cancelled jobs of which nothing is left on these machines.
+        /// Machines that no longer run tasks of a cancelled job.
         cleared: Vec<ResidueCleared>,
     },
-    /// A worker's heartbeat, to be answered by the leader.
+    /// A worker's heartbeat, relayed to be answered by the leader.
     Heartbeat {
-        /// Whether it may be passed on once more.
+        /// Whether the receiver may relay the heartbeat once more.
         relay: bool,
-        /// The controller that the worker reported to.
+        /// The controller to which the worker sent the heartbeat.
         via: String,
-        /// The heartbeat.
+        /// The heartbeat as the worker sent it.
         heartbeat: Heartbeat,
     },
 }
@@ -48,52 +48,52 @@
 /// A reply to another controller.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub enum PeerReply {
-    /// Just the knowledge.
+    /// The answer to a ping; the frame's cluster status is its content.
     Pong,
     /// The leader's answer to a heartbeat.
     Answer {
-        /// Its token.
+        /// The fencing token of the leader's term.
         token: FencingToken,
-        /// Its commands.
+        /// The commands for the worker's agent.
         commands: Vec<AgentCommand>,
     },
-    /// The leader could not be asked.
+    /// The leader is unknown or could not be reached.
     NoLeader,
 }
 
-/// A frame with what its sender knows.
+/// A message together with its sender's cluster status.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Frame<T> {
-    /// What the sender knows.
+    /// The sender's cluster status when it sent the frame.
     pub cluster_status: ClusterStatus,
-    /// The message.
+    /// The request or the reply.
     pub message: T,
 }
 
-/// A cancelled job, as controllers tell each other.
+/// The cancellation of a job, as controllers exchange it.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Cancellation {
-    /// The job.
+    /// The cancelled job.
     pub job: JobId,
-    /// When it was committed, by the time of day in microseconds.
+    /// When the cancellation was committed, in microseconds of Unix time.
     pub at: u64,
-    /// The machines on which its tasks were placed by then.
+    /// The machines on which tasks of the job were placed at that time.
     pub machines: Vec<MachineId>,
 }
 
 impl Cancellation {
-    /// About how many bytes it takes in a message.
+    /// Returns the approximate encoded size in bytes.
     pub(crate) fn bytes(&self) -> usize {
         let names = self.machines.iter().map(|m| m.0.len() + 1);
         self.job.0.len() + 16 + names.sum::<usize>()
     }
 }
 
-/// A machine that was found without tasks of a cancelled job.
+/// A report that a machine no longer runs tasks of a cancelled job.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct ResidueCleared {
-    /// The job.
+    /// The cancelled job.
     pub job: JobId,
-    /// The machine.
+    /// The machine that runs none of its tasks.
     pub machine: MachineId,
 }
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! The connections of other controllers to this one.
+//! The server side of the protocol between controllers.
 
 use super::frame::{read_frame, write_frame};
 use super::messages::{Frame, PeerReply, PeerRequest};
@@ -7,10 +7,10 @@
 use crate::units::Micros;
 use std::future::Future;
 
-/// How long an idle connection is kept open by the side that answers.
+/// How long the server keeps an idle connection open.
 const IDLE_TIMEOUT: Micros = Micros::secs(60);
 
-/// Serves one connection of another controller until it ends, idles too long or sends a broken frame.
+/// Serves one connection of another controller until it is closed, is idle too long or sends an invalid frame.
 pub async fn serve<F, Fut>(mut stream: Stream, handle: F)
 where
     F: Fn(Frame<PeerRequest>) -> Fut,
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -5,10 +5,10 @@
 use crate::units::Micros;
 use futures_lite::future;
 
-// Guards against what cost two hundred live machines on a quiet day: the other side had closed a connection that
-// was idle, the next heartbeat met its end, and the controller was taken to be out of reach.
+// A peer may close an idle connection just before the next heartbeat is sent on it. Treating that error as an unreachable
+// controller once cost two hundred live machines.
 #[test]
-fn a_kept_connection_that_has_ended_is_no_failure() {
+fn a_request_on_a_closed_idle_connection_is_retried() {
     async_io::block_on(async {
         let listener = Listener::bind("127.0.0.1:0".parse().unwrap())
             .await
@@ -23,28 +23,28 @@
                     message: PeerReply::Pong,
                 };
                 write_frame(&mut stream, &reply).await.unwrap();
-                // The connection ends here, though the asking side keeps it.
+                // The server closes the connection here, while the client keeps it in its pool.
             }
         };
-        let asking = async {
+        let client = async {
             for _ in 0..2 {
-                let limit = Micros::secs(30);
+                let time_limit = Micros::secs(30);
                 let ping = PeerRequest::Ping {
                     cancelled: Vec::new(),
                     cleared: Vec::new(),
                 };
-                let reply = peer.call(ClusterStatus::default(), ping, limit).await;
+                let reply = peer.call(ClusterStatus::default(), ping, time_limit).await;
                 assert_eq!(reply.expect("a reply").message, PeerReply::Pong);
             }
         };
-        future::zip(server, asking).await;
+        future::zip(server, client).await;
     });
 }
 
-// Guards against a rolling upgrade in which controllers do not understand each other's pings: the landing before this one
-// sent pairs.
+// During a rolling upgrade controllers must decode each other's pings: the previous version encoded these reports as
+// pairs of job and machine.
 #[test]
-fn what_is_gone_is_encoded_as_the_version_before_did() {
+fn cleared_reports_are_encoded_like_pairs_of_the_previous_version() {
     let names = [
         ("j-1", "m-000001"),
         ("j-000412", "m-000231"),
@@ -54,17 +54,17 @@
         .iter()
         .map(|(job, machine)| (JobId((*job).into()), MachineId((*machine).into())))
         .collect();
-    let found: Vec<ResidueCleared> = pairs
+    let cleared_reports: Vec<ResidueCleared> = pairs
         .iter()
         .map(|(job, machine)| ResidueCleared {
             job: job.clone(),
             machine: machine.clone(),
         })
         .collect();
-    assert_eq!(bitcode::encode(&pairs), bitcode::encode(&found));
+    assert_eq!(bitcode::encode(&pairs), bitcode::encode(&cleared_reports));
 }
 
-// Guards against a cancellation that no controller can be told, as its machines are too many for a frame.
+// A cancellation whose machines do not fit into a frame could not be sent to any controller.
 #[test]
 fn the_cancellation_of_the_largest_job_fits_into_a_frame() {
     let machines = (0..MAX_TASKS).map(|n| MachineId(format!("m-{n:06}-of-a-long-name")));
--- a/src/peer_pinger.rs
+++ b/src/peer_pinger.rs
@@ -1,4 +1,4 @@
-//! Asking the other controllers, again and again, what they know, and telling them of cancellations.
+//! Periodic pings to the other controllers, which exchange cluster status and cancellations.
 
 use crate::cancellation::CancellationService;
 use crate::clock::sleep;
@@ -8,23 +8,23 @@
 use log::debug;
 use std::rc::Rc;
 
-/// How often another controller is pinged.
+/// Pause between an answered or failed ping and the next one to the same peer.
 const PING_INTERVAL: Micros = Micros::secs(1);
-/// How long it may take to answer.
+/// Maximum time that a peer may take to answer a ping.
 const PING_TIMEOUT: Micros = Micros::millis(900);
-/// After a failed ping heartbeats are not relayed to a controller for so long.
+/// How long no heartbeats are relayed to a peer after a failed ping.
 const ROUTE_SUSPENSION: Micros = Micros::secs(2);
 
-/// Pings the other controllers.
+/// Pings the peers of this controller.
 pub struct PeerPinger {
-    /// What is known of them.
+    /// Where the statuses that peers report are recorded.
     pub membership: Rc<Membership>,
-    /// Cancelled jobs.
+    /// The cancelled jobs that peers are told about.
     pub cancellations: Rc<CancellationService>,
 }
 
 impl PeerPinger {
-    /// Pings one controller for ever.
+    /// Pings one peer periodically; never returns.
     pub async fn run(&self, peer: &Peer) {
         let mut cleared_until = self.cancellations.cleared_cursor();
         loop {
@@ -51,7 +51,7 @@
                         e.to_string()
                     );
                     self.membership.record_ping_failed(&peer.node);
-                    // Heartbeats need not find out anew that this route is closed.
+                    // Prevents relayed heartbeats from each waiting for the same unreachable peer.
                     self.membership.suspend_route(&peer.node, ROUTE_SUSPENSION);
                 }
             }
--- a/src/state_loss.rs
+++ b/src/state_loss.rs
@@ -102,7 +102,7 @@
     /// Whether the others told what they know since this process began, or did not for a while.
     fn has_compared_with_peers(&self) -> bool {
         let uptime = self.membership.uptime();
-        uptime >= COMPARISON_TIMEOUT || self.membership.has_heard_all_peers()
+        uptime >= COMPARISON_TIMEOUT || self.membership.has_status_of_all_peers()
     }
 
     /// Whether this controller may stand for election: after a loss those with the newest views go first.
