--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,4 +1,5 @@
-//! One controller: builds its parts, spawns its tasks and serves its connections. It decides nothing itself.
+//! One controller: creates its components, spawns its tasks and serves its connections. It contains no scheduling
+//! logic.
 
 mod parts;
 mod tasks;
@@ -24,10 +25,10 @@
 
 use parts::SharedParts;
 
-/// The path of workers' heartbeats; all others are users'.
+/// The HTTP path of workers' heartbeats; all other paths belong to the user API.
 const HEARTBEAT_PATH: &str = "/checkin";
 
-/// The parts of a controller.
+/// A controller with all its components.
 pub struct Controller {
     shared: SharedParts,
     connections: Rc<Connections>,
@@ -42,7 +43,7 @@
 }
 
 impl Controller {
-    /// A controller that has not begun.
+    /// Creates a controller, which does nothing until it is passed to [`run`].
     pub fn new(platform: Platform, settings: Settings) -> Controller {
         let shared = SharedParts::new(platform, settings);
         let cancellations = Rc::new(cancellations(&shared));
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Answers a request of a user, a worker or a health check.
+    /// Answers an HTTP request from a user, a worker or a health check.
     async fn route(&self, request: HttpRequest) -> HttpResponse {
         if request.path == HEARTBEAT_PATH {
             let response = self.workers.answer(&request).await;
@@ -78,7 +79,8 @@
             HttpResponse { close, ..response }
         } else {
             let response = self.users.answer(&request).await;
-            // Users come back through the load balancer, so that they make room first.
+            // User connections are closed at a lower load than those of workers, since users reconnect through the load
+            // balancer.
             let close = response.close || self.connections.is_use_high();
             HttpResponse { close, ..response }
         }
--- a/src/controller/parts.rs
+++ b/src/controller/parts.rs
@@ -1,4 +1,4 @@
-//! The parts that several duties of a controller share.
+//! The components that several duties of a controller share.
 
 use crate::clock::Clock;
 use crate::cloud::Cloud;
@@ -12,13 +12,13 @@
 use crate::units::Micros;
 use std::rc::Rc;
 
-/// Requests a second that watches may take of a controller's share, about a sixth of it, and the bounds of the pause
-/// between two watches that follows from it.
-const WATCHES_PER_SHARE: f64 = 6.0;
+/// Watches may use about a sixth of a controller's share of the request rate: one request in this many. The pause
+/// between two watches follows from that, within the bounds below in seconds.
+const REQUESTS_PER_WATCH: f64 = 6.0;
 const MIN_WATCH_PAUSE_S: f64 = 0.05;
 const MAX_WATCH_PAUSE_S: f64 = 0.25;
 
-/// Settings, clients and what is known of the other controllers.
+/// Settings, clients, the view, and the status of the other controllers.
 pub(super) struct SharedParts {
     pub(super) platform: Rc<Platform>,
     pub(super) settings: Rc<Settings>,
@@ -61,10 +61,10 @@
     )
 }
 
-/// How long changes gather before the next watch.
+/// Returns the pause between two watches, during which changes accumulate.
 fn watch_pause(platform: &Platform) -> Micros {
     let size = platform.facts.size as f64;
-    let pause_s = WATCHES_PER_SHARE * size / platform.facts.state.rps;
+    let pause_s = REQUESTS_PER_WATCH * size / platform.facts.state.rps;
     Micros::from_secs_f64(pause_s.clamp(MIN_WATCH_PAUSE_S, MAX_WATCH_PAUSE_S))
 }
 
--- a/src/controller/tasks.rs
+++ b/src/controller/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks of a controller: the long-lived ones, and one for each connection.
+//! The async tasks of a controller: the long-lived background tasks, and one per connection.
 
 use super::Controller;
 use crate::clock::{Clock, sleep};
@@ -14,16 +14,16 @@
 use std::io;
 use std::rc::Rc;
 
-/// Pause after a connection could not be accepted, as sockets may be short.
+/// Pause after a failed accept, as the process may have run out of sockets.
 const ACCEPT_RETRY: Micros = Micros::millis(50);
 
-/// Runs a controller for ever.
+/// Runs a controller; returns only on an error.
 ///
-/// Its tasks end when the returned future is dropped, wherever they are; each connection has a task of its own.
+/// Each connection has its own task. All background tasks are cancelled when the returned future is dropped.
 ///
 /// # Errors
 ///
-/// Fails where it can't listen on one of its addresses.
+/// Fails if it can't listen on one of its addresses.
 pub async fn run<'a>(ex: &LocalExecutor<'a>, controller: Rc<Controller>) -> io::Result<()>
 where
     Rc<Controller>: 'a,
@@ -57,7 +57,7 @@
     Ok(())
 }
 
-/// Spawns the tasks that run for as long as the controller does.
+/// Spawns the background tasks that run for the life of the controller.
 fn spawn_tasks<'a>(ex: &LocalExecutor<'a>, controller: &Rc<Controller>) -> Vec<Task<()>>
 where
     Rc<Controller>: 'a,
@@ -85,7 +85,7 @@
     tasks
 }
 
-/// Spawns a task that is not expected to end; `name` is what the log calls it.
+/// Spawns a task that is not expected to end; `name` identifies it in the log if it does.
 fn spawn<'a>(
     ex: &LocalExecutor<'a>,
     controller: &Rc<Controller>,
@@ -102,7 +102,7 @@
     })
 }
 
-/// Accepts connections for ever, each served by a task of its own.
+/// Accepts connections and serves each in its own task; never returns.
 async fn accept<'a, F, Fut>(
     ex: &LocalExecutor<'a>,
     listener: Listener,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Detects process pauses, and logs shortages of sockets, for ever.
+/// Detects process pauses and logs socket shortages periodically; never returns.
 async fn watch_process(controller: &Controller) {
     loop {
         let now = Clock.now();
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -11,8 +11,8 @@
 use http_types::Method;
 use std::rc::Rc;
 
-/// The second of five controllers in zones a, b, a, b, c.
-fn node(lease_s: f64) -> Controller {
+/// Creates the second of five controllers in zones a, b, a, b, c, for workers with a lease of `lease_s` seconds.
+fn test_controller(lease_s: f64) -> Controller {
     let member = |i: usize, zone: &str| {
         format!(
             "[[members]]\nnode = \"n-{i}\"\nzone = \"{zone}\"\naddress = \"127.0.0.1:{}\"\n",
@@ -30,98 +30,113 @@
         members.concat()
     );
     Controller::new(
-        Platform::parse(&text).expect("fine settings"),
+        Platform::parse(&text).expect("valid settings"),
         Settings::default(),
     )
 }
 
-fn answer_all(node: &Controller) {
+fn record_all_peers_reachable(controller: &Controller) {
     for i in [0, 2, 3, 4] {
-        node.shared
+        controller
+            .shared
             .membership
             .record_peer_status(&format!("n-{i}"), ClusterStatus::default());
     }
 }
 
-/// Lets the view show a leader.
-fn elect(controller: &Controller, node: &str) {
+/// Puts a leader record for `node` into the controller's view.
+fn set_leader_in_view(controller: &Controller, node: &str) {
     let record = serde_json::json!({"node": node, "incarnation": 1, "lease": 1});
     let mut view = controller.shared.store.view.borrow_mut();
     view.put("r/leader", record, Revision(7)).expect("a leader");
 }
 
-// Guards against workers that stay with a controller which reaches nobody, while others would serve them; and
-// against the attempt costing them their lease where they reach no other.
+// Without a redirect, workers stay with an isolated controller while others could serve them. The redirect must not
+// cost workers that reach no other controller their lease.
 #[test]
-fn a_controller_that_is_alone_hands_its_workers_on_within_their_lease() {
-    let n = node(14.0);
-    let m = MachineId("m-1".into());
+fn an_isolated_controller_redirects_workers_within_their_lease() {
+    let controller = test_controller(14.0);
+    let machine = MachineId("m-1".into());
     assert!(
-        !n.shared.membership.is_isolated(),
-        "it heard from the state service just now"
+        !controller.shared.membership.is_isolated(),
+        "it reached the key-value store just now"
+    );
+    controller.shared.store.mark_unreachable_for_test();
+    assert!(
+        controller.shared.membership.is_isolated()
+            && !is_ready(&controller.shared.store, &controller.shared.membership)
     );
-    n.shared.store.mark_unreachable_for_test();
-    assert!(n.shared.membership.is_isolated() && !is_ready(&n.shared.store, &n.shared.membership));
     assert_eq!(
-        n.contacts.redirect_target(&m, "b"),
+        controller.contacts.redirect_target(&machine, "b"),
         None,
-        "its lease may be nearly over: it is answered first"
+        "its lease may be about to expire: its heartbeat is answered first"
+    );
+    controller.contacts.record_contact(machine.clone());
+    // An unresponsive controller costs a worker 5 s of its 14 s lease, so only the directly preceding one is safe.
+    assert_eq!(
+        controller.contacts.redirect_target(&machine, "b"),
+        Some("n-0".into())
     );
-    n.contacts.record_contact(m.clone());
-    // One silent controller costs five seconds of fourteen: only the one right before this is safe.
-    assert_eq!(n.contacts.redirect_target(&m, "b"), Some("n-0".into()));
-    n.contacts.record_contact(m.clone());
+    controller.contacts.record_contact(machine.clone());
     assert_eq!(
-        n.contacts.redirect_target(&m, "b"),
+        controller.contacts.redirect_target(&machine, "b"),
         None,
-        "back again, it is left in peace"
+        "a worker that came back is not redirected again soon"
     );
-    answer_all(&n);
-    assert!(!n.shared.membership.is_isolated());
-    // A longer lease bears more tries, a lease that bears none is not risked.
-    let far = node(36.0);
-    far.shared.store.mark_unreachable_for_test();
+    record_all_peers_reachable(&controller);
+    assert!(!controller.shared.membership.is_isolated());
+    // A longer lease allows more attempts; a lease too short for one attempt is not risked.
+    let long_lease = test_controller(36.0);
+    long_lease.shared.store.mark_unreachable_for_test();
     assert_eq!(
-        far.contacts.preceding_controller(1, Micros::secs(36)),
+        long_lease
+            .contacts
+            .preceding_controller(1, Micros::secs(36)),
         Some("n-4".into())
     );
     assert_eq!(
-        far.contacts.preceding_controller(3, Micros::secs(36)),
+        long_lease
+            .contacts
+            .preceding_controller(3, Micros::secs(36)),
         Some("n-2".into())
     );
-    assert_eq!(far.contacts.preceding_controller(0, Micros::secs(8)), None);
+    assert_eq!(
+        long_lease.contacts.preceding_controller(0, Micros::secs(8)),
+        None
+    );
 }
 
-// Guards against workers waiting for the end of a filter between controllers that they are not behind.
+// A packet filter that separates only controllers must not keep workers from being served until it ends: they are
+// redirected to the leader, which they can reach.
 #[test]
-fn behind_a_filter_between_controllers_workers_are_sent_to_the_leader() {
-    let n = node(14.0);
-    let m = MachineId("m-1".into());
-    n.contacts.record_contact(m.clone());
-    elect(&n, "n-2");
-    answer_all(&n);
+fn workers_are_redirected_to_the_leader_if_only_controllers_are_partitioned() {
+    let controller = test_controller(14.0);
+    let machine = MachineId("m-1".into());
+    controller.contacts.record_contact(machine.clone());
+    set_leader_in_view(&controller, "n-2");
+    record_all_peers_reachable(&controller);
     assert_eq!(
-        n.contacts.redirect_target(&m, "b"),
+        controller.contacts.redirect_target(&machine, "b"),
         None,
-        "a cut of zones may keep it from there"
+        "a partition between zones may keep the worker from that leader"
     );
     assert_eq!(
-        n.contacts.redirect_target(&m, "a"),
+        controller.contacts.redirect_target(&machine, "a"),
         Some("n-2".into()),
-        "its own zone's leader it reaches"
+        "a worker reaches the leader in its own zone"
     );
-    let other = MachineId("m-2".into());
-    n.contacts.record_contact(other.clone());
-    n.shared.membership.forget_peers(Some("n-3"));
+    let other_machine = MachineId("m-2".into());
+    controller.contacts.record_contact(other_machine.clone());
+    controller.shared.membership.forget_peers(Some("n-3"));
     assert_eq!(
-        n.contacts.redirect_target(&other, "b"),
+        controller.contacts.redirect_target(&other_machine, "b"),
         Some("n-2".into()),
-        "not even this zone's reach each other"
+        "controllers of this zone can't reach each other, so it is not a partition between zones"
     );
 }
 
-fn checkin(
-    node: &Rc<Controller>,
+fn post_heartbeat(
+    controller: &Rc<Controller>,
     sequence: u64,
     token: u64,
     jobs: &[&str],
@@ -137,12 +152,12 @@
         query: String::new(),
         body: body.to_string().into(),
     };
-    let reply = async_io::block_on(node.route(call));
+    let reply = async_io::block_on(controller.route(call));
     let body = serde_json::from_slice(&reply.body).expect("JSON");
     (reply.status, body)
 }
 
-fn hear_of_cancellation(node: &Rc<Controller>, job: &str) {
+fn receive_cancellation(controller: &Rc<Controller>, job: &str) {
     let ping = Frame {
         cluster_status: ClusterStatus::default(),
         message: PeerRequest::Ping {
@@ -154,26 +169,26 @@
             cleared: Vec::new(),
         },
     };
-    async_io::block_on(node.peer_api.answer(ping));
+    async_io::block_on(controller.peer_api.answer(ping));
 }
 
-fn stop_of(job: &str) -> serde_json::Value {
+fn stop_order(job: &str) -> serde_json::Value {
     serde_json::json!([{"verb": "stop", "take": format!("{job}/0"), "try": 2, "slackS": 0.0}])
 }
 
-// Guards against cancelled tasks that run on for as long as the leader can't be asked.
+// A follower must stop cancelled tasks itself, or they keep running while the leader can't be reached.
 #[test]
-fn cancelled_tasks_are_stopped_by_whom_their_worker_reaches() {
-    let n = Rc::new(node(14.0));
-    answer_all(&n);
-    elect(&n, "n-2");
-    hear_of_cancellation(&n, "j-1");
-    let (status, answer) = checkin(&n, 1, 7, &["j-1", "j-2"]);
+fn a_follower_stops_cancelled_tasks_of_its_workers() {
+    let controller = Rc::new(test_controller(14.0));
+    record_all_peers_reachable(&controller);
+    set_leader_in_view(&controller, "n-2");
+    receive_cancellation(&controller, "j-1");
+    let (status, answer) = post_heartbeat(&controller, 1, 7, &["j-1", "j-2"]);
     assert_eq!((status, &answer["warrant"]), (200, &serde_json::json!(7)));
-    assert_eq!(answer["orders"], stop_of("j-1"));
-    // Told by the view alone it is the same, and the other job is nobody's to stop.
+    assert_eq!(answer["orders"], stop_order("j-1"));
+    // An aborted job in the view has the same effect as a cancellation from a peer; the other job is not stopped.
     let end = serde_json::json!({"how": "aborted", "at": 1, "done": 0});
-    let put = n
+    let put = controller
         .shared
         .store
         .view
@@ -181,46 +196,57 @@
         .put("r/end/j-1", end, Revision(8));
     put.expect("an end");
     assert_eq!(
-        checkin(&n, 2, 7, &["j-2", "j-1"]).1["orders"],
-        stop_of("j-1")
+        post_heartbeat(&controller, 2, 7, &["j-2", "j-1"]).1["orders"],
+        stop_order("j-1")
     );
     assert_eq!(
-        checkin(&n, 3, 7, &["j-2"]).1["orders"],
+        post_heartbeat(&controller, 3, 7, &["j-2"]).1["orders"],
         serde_json::json!([])
     );
 }
 
-// Guards against a cancellation that the leader never hears of, as the state service refused everybody right after
-// it was committed, and against a leader that keeps its workers while another leads.
+// A leader must stop cancelled tasks even if it learns of the cancellation from a peer only, as when the key-value
+// store refuses all requests right after the commit. An isolated leader must not keep its workers while another leads.
 #[test]
-fn a_leader_without_a_lease_stops_what_is_cancelled_and_alone_hands_its_workers_on() {
-    let n = Rc::new(node(14.0));
-    answer_all(&n);
-    let term = Rc::new(n.leader.begin_term(LeaderLease::expired(7, 1)));
-    n.shared.membership.set_own_term(Some(term.token()));
-    n.shared.current_term.set(Some(term));
-    hear_of_cancellation(&n, "j-1");
-    let (_, answer) = checkin(&n, 1, 7, &["j-1", "j-2"]);
-    assert_eq!(answer["orders"], stop_of("j-1"));
-    n.shared.store.mark_unreachable_for_test();
-    assert_eq!(checkin(&n, 2, 7, &["j-2"]).0, 200, "an outage for all");
-    n.shared.membership.forget_peers(None);
-    assert!(n.shared.membership.is_isolated());
-    assert_eq!(checkin(&n, 3, 7, &["j-2"]).0, 200, "its lease goes first");
-    let (status, answer) = checkin(&n, 4, 7, &["j-2"]);
+fn a_leader_without_a_lease_stops_cancelled_tasks_and_redirects_workers_when_isolated() {
+    let controller = Rc::new(test_controller(14.0));
+    record_all_peers_reachable(&controller);
+    let term = Rc::new(controller.leader.begin_term(LeaderLease::expired(7, 1)));
+    controller
+        .shared
+        .membership
+        .set_own_term(Some(term.token()));
+    controller.shared.current_term.set(Some(term));
+    receive_cancellation(&controller, "j-1");
+    let (_, answer) = post_heartbeat(&controller, 1, 7, &["j-1", "j-2"]);
+    assert_eq!(answer["orders"], stop_order("j-1"));
+    controller.shared.store.mark_unreachable_for_test();
+    assert_eq!(
+        post_heartbeat(&controller, 2, 7, &["j-2"]).0,
+        200,
+        "an outage that affects all controllers"
+    );
+    controller.shared.membership.forget_peers(None);
+    assert!(controller.shared.membership.is_isolated());
+    assert_eq!(
+        post_heartbeat(&controller, 3, 7, &["j-2"]).0,
+        200,
+        "the heartbeat is answered before the worker is redirected"
+    );
+    let (status, answer) = post_heartbeat(&controller, 4, 7, &["j-2"]);
     assert_eq!((status, answer["muster"].as_str()), (421, Some("n-0")));
 }
 
-// Guards against users' connections keeping out the workers of a fleet that all come to one controller.
+// User connections must not use up the sockets when all workers of the fleet report to one controller.
 #[test]
-fn where_sockets_are_short_connections_of_users_end_with_each_answer() {
-    let node = Rc::new(node(14.0));
-    let max = node.connections.max();
+fn user_connections_are_closed_after_each_answer_when_sockets_are_short() {
+    let controller = Rc::new(test_controller(14.0));
+    let max = controller.connections.max();
     let mut open = Vec::new();
     let mut hold = |count: usize| {
         open.truncate(count);
         while open.len() < count {
-            open.push(node.connections.accept().expect("a free socket"));
+            open.push(controller.connections.accept().expect("a free socket"));
         }
     };
     let call = |method, path: &str| HttpRequest {
@@ -229,13 +255,13 @@
         query: String::new(),
         body: Vec::new(),
     };
-    let closes = |call| async_io::block_on(node.route(call)).close;
+    let closes = |call| async_io::block_on(controller.route(call)).close;
     assert!(!closes(call(Method::Get, "/ready")));
-    // First users make room, who come back through the load balancer.
+    // User connections are closed first, since users reconnect through the load balancer.
     hold(max * 3 / 4 + 1);
     assert!(closes(call(Method::Get, "/ready")));
     assert!(!closes(call(Method::Post, "/checkin")));
-    // Where there are fewer sockets than workers, workers take turns as well: each heartbeat comes on a connection of its own.
+    // With fewer sockets than workers, worker connections are closed as well: each heartbeat uses a new connection.
     hold(max);
     assert!(closes(call(Method::Get, "/ready")));
     assert!(closes(call(Method::Post, "/checkin")));
--- a/src/election.rs
+++ b/src/election.rs
@@ -13,7 +13,8 @@
 use log::{debug, info};
 use std::rc::Rc;
 
-/// Interval at which a controller checks whether there is a leader, in addition to the check on every change of the view.
+/// Interval at which a controller checks whether there is a leader, in addition to the check on every change of the
+/// view.
 const ELECTION_CHECK_INTERVAL: Micros = Micros::millis(500);
 /// Maximum time for which a newly elected leader waits until its view includes its own election.
 const CATCH_UP_TIMEOUT: Micros = Micros::secs(2);
@@ -70,9 +71,9 @@
                         return lease;
                     }
                 }
-                // The leader key names this node although this process is not leading: the key was written by an earlier
-                // process on this node, or in a term that has just ended. Revoking its lease frees the key without
-                // waiting for the lease to expire.
+                // The leader key names this node although this process is not leading: the key was written by an
+                // earlier process on this node, or in a term that has just ended. Revoking its lease frees the key
+                // without waiting for the lease to expire.
                 Some(Some(record)) if record.node == self.membership.node() => {
                     let revoked = self.kv.revoke(record.lease).await;
                     debug!("event=stale_lease_revoked good={}", revoked.is_ok());
@@ -155,8 +156,8 @@
         match self.kv.txn(Urgency::Now, conditions, writes).await {
             Ok(Outcome::Applied(revision)) => Some(revision),
             Ok(Outcome::Conflict(_)) | Err(KvError::Refused(_)) => None,
-            // The outcome is unknown, so the key is read back. If the transaction is applied after that read, either its
-            // lease has expired by then, or the view shows this node as the holder and `acquire` revokes the lease.
+            // The outcome is unknown, so the key is read back. If the transaction is applied after that read, either
+            // its lease has expired by then, or the view shows this node as the holder and `acquire` revokes the lease.
             Err(_) => {
                 let key = StoreKey::Leader.to_string();
                 match self.kv.get(Urgency::Now, &key).await {
@@ -169,8 +170,8 @@
 
     /// Returns whether the leader key had this version before a loss of stored state.
     ///
-    /// Versions can repeat after a loss. A leader elected at such a version must not lead: a delayed write of the leader
-    /// from before the loss would still meet its condition on the leader key.
+    /// Versions can repeat after a loss. A leader elected at such a version must not lead: a delayed write of the
+    /// leader from before the loss would still meet its condition on the leader key.
     fn is_version_from_before_loss(&self, revision: Revision) -> bool {
         let loss = self.store.loss.borrow();
         let snapshot = loss.as_ref().and_then(|loss| loss.snapshot.as_ref());
--- a/src/fencing.rs
+++ b/src/fencing.rs
@@ -6,8 +6,8 @@
 
 /// The number of a leader term; a newer term has a higher token.
 ///
-/// It is the version of the leader key, plus a base after a loss of stored state. Agents discard answers with a token lower
-/// than the highest they have received. In JSON and in frames it is a plain number.
+/// It is the version of the leader key, plus a base after a loss of stored state. Agents discard answers with a token
+/// lower than the highest they have received. In JSON and in frames it is a plain number.
 #[derive(
     Debug,
     Clone,
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -1,4 +1,5 @@
-//! Leading: elections, and what the leader does during its term: scheduling cycles, their commits, the machine inventory, scale-out and scale-in.
+//! The leader: elections, and the duties of a leader term, which are scheduling cycles and their commits, the machine
+//! inventory, scale-out and scale-in.
 
 mod commit;
 mod cycles;
@@ -27,43 +28,43 @@
 use inventory::MachineInventory;
 use provisioning::Provisioner;
 
-/// Pause before a transaction is sent again.
+/// Pause before a transaction or a read is retried.
 const RETRY_PAUSE: Micros = Micros::millis(120);
 
-/// The parts of a controller that leading takes.
+/// The components of a controller that take part in elections and leader terms.
 pub struct Leader {
-    /// The clock.
+    /// Clock for time limits, lease validity and the times in stored records.
     pub clock: Clock,
-    /// The platform's settings.
+    /// The deployment's platform: budgets of the external services and machine limits.
     pub platform: Rc<Platform>,
-    /// The operators' settings.
+    /// The settings that operators may change.
     pub settings: Rc<Settings>,
-    /// The state service.
+    /// Client of the key-value store, with this controller's share of the request budget.
     pub kv: Rc<KvClient>,
-    /// The cached view.
+    /// The view of the key-value store.
     pub store: Rc<StateCache>,
-    /// The cloud.
+    /// Client of the cloud, for the machine list, the machine types, provisioning and termination.
     pub cloud: Rc<Cloud>,
-    /// The other controllers.
+    /// The other controllers and what they report about leader terms.
     pub membership: Rc<Membership>,
-    /// The term that this controller leads, for the duties that must know it.
+    /// The current leader term, shared with the duties that run whether or not this controller leads.
     pub current_term: Rc<CurrentTerm>,
-    /// Wins and renews the lease.
+    /// Acquires and renews the leader lease.
     pub election: Election,
-    /// Recovery after a loss of stored state.
+    /// Restores stored state after a loss before the term begins.
     pub state_loss: Rc<StateLossRecovery>,
-    /// Process pauses.
+    /// Detects process pauses before decisions about machines that seem unreachable.
     pub pause_detector: Rc<PauseDetector>,
 }
 
 impl Leader {
-    /// Leads until the term ends; returns why.
+    /// Runs all duties of the term until it ends; returns the reason.
     ///
-    /// All duties of the term end together, wherever they are. A request that is under way then may still be carried out:
-    /// writes are conditional on the leader key, and commands are sent in answers to heartbeats only, which look at the
-    /// lease.
+    /// All duties are cancelled together, at whichever await point they are. A request in flight may still take effect,
+    /// which is safe: writes are conditional on the leader key, and commands are sent only in answers to heartbeats,
+    /// which check the lease.
     async fn run_term(&self, term: &LeaderTerm) -> TermEnd {
-        // The leader does most of the reading and writing: half of the budget is its own.
+        // The leader makes most reads and writes, so it gets half of the request budget.
         let limits = &self.platform.facts.state;
         self.kv.set_share(limits.rps / 2.0, limits.write_rps / 2.0);
         let cycles = self.scheduling_loop(term);
--- a/src/leader/commit.rs
+++ b/src/leader/commit.rs
@@ -1,4 +1,5 @@
-//! Batches of the scheduler's writes as transactions, each under the leader key, until their outcome is certain.
+//! Commits batches of the scheduler's writes as transactions that are conditional on the leader key, and retries each
+//! until its outcome is certain.
 
 use super::RETRY_PAUSE;
 use crate::clock::{Clock, sleep};
@@ -11,7 +12,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Writes the batches of a term.
+/// Commits the write batches of a leader term.
 pub(super) struct BatchWriter<'a> {
     pub(super) clock: Clock,
     pub(super) kv: &'a KvClient,
@@ -19,28 +20,28 @@
     pub(super) term: &'a LeaderTerm,
 }
 
-/// A batch on its way to the state service.
-struct Attempt<'b> {
+/// A batch that is being written, with what must stay the same when it is sent again.
+struct PendingBatch<'b> {
     batch: &'b [Write],
-    /// The time of day that its records carry.
+    /// The Unix time in microseconds that is stored in its records.
     at: u64,
-    /// Whether a try went unanswered, so that it may have been applied or may be later.
+    /// Whether a transmission got no answer, so that it may have been applied or may still be.
     is_uncertain: bool,
 }
 
 impl BatchWriter<'_> {
-    /// Writes a batch until its outcome is certain.
+    /// Writes a batch, retrying until its outcome is certain.
     ///
     /// # Errors
     ///
-    /// Returns why the term has ended, if a conflict or the state service's answer shows that it has.
+    /// Returns the reason why the term ends, if a conflict or the key-value store's answer requires that.
     pub(super) async fn write(&self, batch: &[Write]) -> Result<(), TermEnd> {
-        let mut attempt = Attempt {
+        let mut pending = PendingBatch {
             batch,
             at: self.clock.unix_time(),
             is_uncertain: false,
         };
-        let transaction = Transaction::new(self.term.leader_condition(), batch, attempt.at);
+        let transaction = Transaction::new(self.term.leader_condition(), batch, pending.at);
         let Transaction {
             conditions,
             changes,
@@ -48,7 +49,7 @@
         loop {
             let (outcome, was_retransmitted) =
                 self.kv.txn_with_retransmit(conditions, changes).await;
-            attempt.is_uncertain |= was_retransmitted;
+            pending.is_uncertain |= was_retransmitted;
             match outcome {
                 Ok(Outcome::Applied(revision)) => {
                     self.store.mark_reachable();
@@ -58,7 +59,7 @@
                 }
                 Ok(Outcome::Conflict(failed)) => {
                     self.store.mark_reachable();
-                    return self.resolve_conflict(&attempt, &failed).await;
+                    return self.resolve_conflict(&pending, &failed).await;
                 }
                 Err(KvError::Refused(e)) => debug!("event=write_refused error={e:?}"),
                 Err(e @ (KvError::Malformed(_) | KvError::LeaseNotFound | KvError::Compacted)) => {
@@ -67,14 +68,14 @@
                 }
                 Err(KvError::Unknown(e)) => {
                     debug!("event=write_unanswered error={e:?}");
-                    attempt.is_uncertain = true;
+                    pending.is_uncertain = true;
                 }
             }
             sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// A batch was applied at this revision: what it placed may be started now.
+    /// Tells the scheduler that a batch was applied at a revision, so that the tasks it places may be started.
     fn on_applied(&self, batch: &[Write], revision: Revision) {
         let mut scheduler = self.term.scheduler.borrow_mut();
         scheduler.batch_applied(batch, revision);
@@ -85,22 +86,22 @@
         }
     }
 
-    /// A batch met a conflict: the term has ended, a job had ended, or an earlier try had been applied after all.
+    /// Handles a conflict: the term has ended, a job of the batch had ended, or an earlier transmission was applied.
     async fn resolve_conflict(
         &self,
-        attempt: &Attempt<'_>,
+        pending: &PendingBatch<'_>,
         failed: &[String],
     ) -> Result<(), TermEnd> {
         if failed.contains(&StoreKey::Leader.to_string()) {
             return Err(TermEnd::LeaderKeyChanged);
         }
-        if attempt.is_uncertain
-            && let Some(revision) = self.find_applied_revision(attempt).await?
+        if pending.is_uncertain
+            && let Some(revision) = self.find_applied_revision(pending).await?
         {
-            self.on_applied(attempt.batch, revision);
+            self.on_applied(pending.batch, revision);
             return Ok(());
         }
-        let ended: Vec<JobId> = attempt
+        let ended: Vec<JobId> = pending
             .batch
             .iter()
             .filter_map(Write::job)
@@ -108,27 +109,29 @@
             .cloned()
             .collect();
         if ended.is_empty() {
-            // Nobody else writes these keys under this token: the picture is wrong and is built anew.
+            // Only this leader writes these keys during its term, so the scheduler's state is wrong. Ending the term
+            // rebuilds it from the view.
             warn!("event=unexpected_conflict keys={failed:?}");
             return Err(TermEnd::UnexpectedConflict);
         }
         let mut scheduler = self.term.scheduler.borrow_mut();
-        scheduler.batch_dropped(attempt.batch);
+        scheduler.batch_dropped(pending.batch);
         for job in ended {
             scheduler.on_job_ended_elsewhere(&job);
         }
         Ok(())
     }
 
-    /// Returns the revision at which a batch was applied of which a try went unanswered, if it was.
+    /// Returns the revision at which an earlier, unanswered transmission of the batch was applied, or `None` if it was
+    /// not.
     async fn find_applied_revision(
         &self,
-        attempt: &Attempt<'_>,
+        pending: &PendingBatch<'_>,
     ) -> Result<Option<Revision>, TermEnd> {
-        let Some(first) = attempt.batch.first() else {
+        let Some(first_write) = pending.batch.first() else {
             return Ok(None);
         };
-        let (key, expected) = first_write(first, attempt.at);
+        let (key, expected) = first_change(first_write, pending.at);
         let key = key.to_string();
         loop {
             match self.kv.get(Urgency::Now, &key).await {
@@ -147,7 +150,7 @@
     }
 }
 
-/// The conditions and changes of a batch.
+/// The conditions and changes into which a batch is translated.
 struct Transaction {
     conditions: Vec<Condition>,
     changes: Vec<Change>,
@@ -170,10 +173,10 @@
     }
 }
 
-/// Collects a transaction's changes, and the version that each key in its conditions must have.
+/// Collects the changes of a transaction, and the versions that its conditions require.
 #[derive(Default)]
 struct TransactionBuilder {
-    /// One version for each key, as several writes may be conditional on the same one.
+    /// Required version by key; several writes may be conditional on the same key.
     versions: BTreeMap<String, Revision>,
     changes: Vec<Change>,
 }
@@ -210,11 +213,11 @@
                 let change = images.as_ref().map(|images| key.put(images));
                 self.changes.push(change.unwrap_or_else(|| key.delete()));
             }
-            Write::Forget { job, chunks, whole } => self.forget(job, chunks, *whole),
+            Write::Forget { job, chunks, whole } => self.delete_chunks(job, chunks, *whole),
         }
     }
 
-    /// Removes the one chunk of a small job, which may never have been written.
+    /// Deletes the only chunk of a small job, if that chunk was ever written.
     fn delete_only_chunk(&mut self, job: &JobId, version: Revision) {
         let key = chunk_key(job, 0);
         self.require(&key, version);
@@ -223,8 +226,9 @@
         }
     }
 
-    /// Removes chunks of a job that has ended, by number and version, and with the last of them its submission.
-    fn forget(&mut self, job: &JobId, chunks: &[(u32, Revision)], is_last: bool) {
+    /// Deletes chunks of an ended job, given by number and version, and the job's submission record with the last of
+    /// them.
+    fn delete_chunks(&mut self, job: &JobId, chunks: &[(u32, Revision)], is_last: bool) {
         for (chunk, version) in chunks {
             let key = chunk_key(job, *chunk);
             self.require(&key, *version);
@@ -235,7 +239,7 @@
         }
     }
 
-    /// Adds the end of a job that is done, which must not have ended before.
+    /// Adds the end record of a completed job, on condition that the job has not ended before.
     fn add_end(&mut self, job: &JobId, tasks: u32, at: u64) {
         let key = end_key(job);
         self.require(&key, Revision::NONE);
@@ -247,8 +251,8 @@
     }
 }
 
-/// The key of the first change of a write, and what it holds once that is applied: nothing, where the key is removed.
-fn first_write(write: &Write, at: u64) -> (StoreKey, Option<Value>) {
+/// Returns the key of a write's first change and its value after the change, `None` where the key is deleted.
+fn first_change(write: &Write, at: u64) -> (StoreKey, Option<Value>) {
     match write {
         Write::Chunk {
             job, chunk, record, ..
--- a/src/leader/cycles.rs
+++ b/src/leader/cycles.rs
@@ -1,4 +1,4 @@
-//! The scheduling loop: a cycle of offers whenever there is something new, and the commit of what it decided.
+//! The scheduling loop: runs a scheduling cycle whenever there is new input, and commits its decisions.
 
 use super::commit::BatchWriter;
 use crate::clock::{Clock, sleep};
@@ -10,17 +10,17 @@
 use futures_lite::FutureExt;
 use log::{debug, info};
 
-/// Most time between two scheduling cycles.
+/// Time after the end of a scheduling cycle at which the next one begins even if none is requested.
 const MAX_CYCLE_INTERVAL: Micros = Micros::millis(200);
-/// How long a scheduling cycle waits for more heartbeats to come in.
+/// How long a requested scheduling cycle is delayed, so that it includes heartbeats that arrive together.
 const COALESCE_WINDOW: Micros = Micros::millis(15);
-/// Batches written in one scheduling cycle.
+/// Maximum number of batches written in one scheduling cycle.
 const MAX_BATCHES_PER_CYCLE: usize = 4;
 
-/// Runs the scheduling cycles of a term.
+/// Runs the scheduling cycles of a leader term.
 pub(super) struct SchedulingLoop<'a> {
     pub(super) clock: Clock,
-    /// Puts and deletes in one transaction.
+    /// Maximum number of puts and deletes in one transaction.
     pub(super) max_batch_ops: usize,
     pub(super) kv: &'a KvClient,
     pub(super) store: &'a StateCache,
@@ -29,7 +29,7 @@
 }
 
 impl SchedulingLoop<'_> {
-    /// Asks for a cycle as soon as the view changes.
+    /// Requests a scheduling cycle whenever the view changes; never returns.
     pub(super) async fn request_on_view_changes(&self) -> TermEnd {
         loop {
             self.store.change_notifications.listen().await;
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Runs cycles until a commit ends the term; returns why.
+    /// Runs scheduling cycles until a commit ends the term; returns the reason.
     pub(super) async fn run(&self) -> TermEnd {
         loop {
             let interval = async {
@@ -46,7 +46,7 @@
             self.term.cycle_requested().or(interval).await;
             sleep(COALESCE_WINDOW).await;
             self.term.start_cycle();
-            self.decide();
+            self.schedule();
             if let Err(end) = self.commit().await {
                 return end;
             }
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Offers what is due, with all that the view shows by now.
-    fn decide(&self) {
+    /// Applies new changes of the view to the scheduler, and runs its cycle if the lease is valid.
+    fn schedule(&self) {
         let now = self.clock.now();
         for change in self.store.take_changes() {
             let view = self.store.view.borrow();
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Writes what is to be written, as far as one cycle may.
+    /// Writes the scheduler's pending batches, up to the limit of one cycle.
     async fn commit(&self) -> Result<(), TermEnd> {
         for _ in 0..MAX_BATCHES_PER_CYCLE {
             let writes_are_short = self.kv.writes_are_short();
--- a/src/leader/elections.rs
+++ b/src/leader/elections.rs
@@ -1,4 +1,4 @@
-//! From election to election: standing, leading when elected, and giving the leadership up.
+//! The loop of a controller through elections and leader terms.
 
 use super::Leader;
 use crate::fencing::FencingToken;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 impl Leader {
-    /// Stands for election and leads when elected, for ever.
+    /// Campaigns in elections and runs a leader term after each one it wins; never returns.
     pub async fn run(&self) {
         loop {
             let lease = self.election.acquire().await;
@@ -26,14 +26,14 @@
             self.membership.set_own_term(None);
             self.store.record_changes(false);
             log_term_end(term.token(), end);
-            self.take_followers_share();
+            self.set_follower_share();
             if self.membership.cluster_status().token == term.token() {
                 self.election.resign(term.lease()).await;
             }
         }
     }
 
-    /// A term under this lease, with all that the view holds.
+    /// Creates a leader term under this lease, with the state in the view.
     pub(crate) fn begin_term(&self, lease: LeaderLease) -> LeaderTerm {
         LeaderTerm::new(
             &self.platform,
@@ -44,15 +44,15 @@
         )
     }
 
-    /// Restores what was lost, if anything was, while the lease lasts; returns why it could not.
+    /// Restores lost state, if any, while renewing the lease; returns the reason if the term can't begin.
     async fn restore(&self, lease: &LeaderLease) -> Option<TermEnd> {
         let hold = async { Some(self.election.hold(lease).await) };
         let restore = async { self.state_loss.restore(lease).await.err() };
         restore.or(hold).await
     }
 
-    /// Takes a follower's share of the state service's budget: all controllers' are the same.
-    fn take_followers_share(&self) {
+    /// Sets the share of the key-value store's request budget to that of a follower, an equal part for each controller.
+    fn set_follower_share(&self) {
         let limits = &self.platform.facts.state;
         let size = self.platform.facts.size as f64;
         self.kv
--- a/src/leader/fleet.rs
+++ b/src/leader/fleet.rs
@@ -1,4 +1,4 @@
-//! Scale-out and scale-in: what the scheduler plans for the fleet is carried out at the cloud.
+//! Scale-out and scale-in: carries out the scheduler's fleet plans with requests to the cloud.
 
 use super::provisioning::Provisioner;
 use crate::clock::{Clock, sleep};
@@ -13,10 +13,10 @@
 use log::info;
 use std::collections::HashSet;
 
-/// How often the fleet is planned.
+/// Pause between two fleet plans.
 const FLEET_INTERVAL: Micros = Micros::millis(500);
 
-/// Scales the fleet during a term.
+/// Scales the fleet during a leader term.
 pub(super) struct FleetScaler<'a> {
     pub(super) clock: Clock,
     pub(super) cloud: &'a Cloud,
@@ -28,7 +28,7 @@
 }
 
 impl FleetScaler<'_> {
-    /// Provisions and terminates machines until the term ends; returns why.
+    /// Provisions and terminates machines until the term ends; returns the reason.
     pub(super) async fn run(&self) -> TermEnd {
         self.provisioner.resume().await;
         loop {
@@ -62,10 +62,11 @@
         scheduler.plan_fleet(now, self.clock.unix_time())
     }
 
-    /// Terminates machines with tasks whose cancellation is overdue, though the lease may have expired.
+    /// Terminates machines with tasks whose cancellation is overdue, even though the lease may have expired.
     ///
-    /// Nothing else may be decided then, but a cancelled task must go, whoever leads by then: unless this controller is
-    /// isolated, it would have heard of another leader.
+    /// No other decision is allowed without a lease, but a cancelled task must be stopped whichever controller leads.
+    /// This controller does not act if it is isolated, since it then might not know of a newer leader, or if it knows
+    /// of one.
     async fn terminate_overdue(&self) {
         let is_superseded = self.membership.cluster_status().token != self.term.token();
         if self.membership.is_isolated() || is_superseded {
@@ -76,15 +77,16 @@
         self.terminate(&overdue, |_| true).await;
     }
 
-    /// Terminates machines, for as long as this leader may.
+    /// Terminates machines, in as many requests as needed, while `may_terminate` allows it.
     async fn terminate(&self, machines: &[MachineId], may_terminate: impl Fn(Micros) -> bool) {
-        for part in machines.chunks(MAX_MACHINES_PER_TERMINATION) {
-            // Guards against a leader that was paused or partitioned in between: by now another may use these machines.
+        for batch in machines.chunks(MAX_MACHINES_PER_TERMINATION) {
+            // This leader may have been paused or partitioned since the decision or the previous request, and another
+            // leader may be using these machines.
             if !may_terminate(self.clock.now()) {
                 return;
             }
-            match self.cloud.terminate(part).await {
-                Ok(()) => self.on_terminated(part),
+            match self.cloud.terminate(batch).await {
+                Ok(()) => self.on_terminated(batch),
                 Err(e) => {
                     info!("event=termination_failed error={:?}", e.to_string());
                     return;
--- a/src/leader/inventory.rs
+++ b/src/leader/inventory.rs
@@ -1,4 +1,4 @@
-//! What the cloud has: its machine list and its machine types, read again and again for the scheduler.
+//! Periodically reads the cloud's machine list and machine types for the scheduler.
 
 use crate::clock::{Clock, sleep};
 use crate::cloud::Cloud;
@@ -9,22 +9,23 @@
 use crate::units::Micros;
 use log::{debug, warn};
 
-/// How often the machine types are read.
+/// Pause between two reads of the machine types.
 const MACHINE_TYPES_INTERVAL: Micros = Micros::secs(30);
-/// Pause before machine types that could not be read are asked for again.
+/// Pause after a failed read of the machine types.
 const MACHINE_TYPES_RETRY: Micros = Micros::secs(1);
-/// Pause before machine types that could not be written are written again.
+/// Pause after a failed write of the machine types to the key-value store.
 const MACHINE_TYPES_WRITE_RETRY: Micros = Micros::millis(500);
-/// Reading the machine list for longer than this is logged: machines that died are then found late.
+/// Reads of the machine list that take longer are logged, because machines that failed are then detected late.
 const SLOW_MACHINE_LIST: Micros = Micros::secs(15);
-/// Requests in whose time the cloud is asked for one page of the machine list, and the least time between two lists.
+/// The pause between two reads of the machine list is the time in which the cloud admits this many requests, but at
+/// least the following number of seconds.
 const REQUESTS_PER_LIST: f64 = 4.0;
 const MIN_LIST_INTERVAL_S: f64 = 2.0;
 
-/// Keeps a term's scheduler informed of what the cloud has.
+/// Updates the scheduler of a leader term with the machines and machine types of the cloud.
 pub(super) struct MachineInventory<'a> {
     pub(super) clock: Clock,
-    /// Requests a second that the cloud allows.
+    /// The cloud's rate limit in requests per second.
     pub(super) cloud_rps: f64,
     pub(super) kv: &'a KvClient,
     pub(super) store: &'a StateCache,
@@ -33,11 +34,11 @@
 }
 
 impl MachineInventory<'_> {
-    /// Reads the machine types, and keeps them for controllers that can't.
+    /// Periodically reads the machine types and stores them for controllers that can't read them; never returns.
     pub(super) async fn refresh_machine_types(&self) -> TermEnd {
         loop {
             let pause = match self.cloud.machine_types().await {
-                Ok(machine_types) => self.take_machine_types(&machine_types).await,
+                Ok(machine_types) => self.update_machine_types(&machine_types).await,
                 Err(e) => {
                     debug!("event=machine_types_failed error={:?}", e.to_string());
                     MACHINE_TYPES_RETRY
@@ -47,14 +48,15 @@
         }
     }
 
-    /// Takes in the machine types; returns when to ask for them again.
-    async fn take_machine_types(&self, machine_types: &[MachineType]) -> Micros {
+    /// Passes the machine types to the scheduler and stores them if they changed; returns the pause until the next
+    /// read.
+    async fn update_machine_types(&self, machine_types: &[MachineType]) -> Micros {
         self.term
             .scheduler
             .borrow_mut()
             .set_machine_types(machine_types);
-        let known = self.store.view.borrow().machine_types.clone();
-        if known.is_some_and(|k| is_same_but_prices(&k.value, machine_types)) {
+        let stored = self.store.view.borrow().machine_types.clone();
+        if stored.is_some_and(|k| is_equal_ignoring_prices(&k.value, machine_types)) {
             return MACHINE_TYPES_INTERVAL;
         }
         let put = StoreKey::MachineTypes.put(&machine_types);
@@ -68,12 +70,13 @@
         }
     }
 
-    /// Reads the machine list.
+    /// Periodically reads the machine list; never returns.
     pub(super) async fn refresh_machine_list(&self) -> TermEnd {
         let interval = (REQUESTS_PER_LIST / self.cloud_rps).max(MIN_LIST_INTERVAL_S);
         let interval = Micros::from_secs_f64(interval);
         loop {
-            // What came or went while the pages were read may stand in none or in an old one of them.
+            // A machine that is provisioned or terminated while the pages are read may be missing or still listed, so
+            // the list counts as of the time of the request.
             let requested_at = self.clock.now();
             match self.cloud.list().await {
                 Ok(list) => {
@@ -94,8 +97,9 @@
     }
 }
 
-/// Whether nothing but prices differs: these change all the time, and nobody needs them from the state service.
-fn is_same_but_prices(a: &[MachineType], b: &[MachineType]) -> bool {
+/// Returns whether the machine types are equal apart from their prices, which change often and are not needed from the
+/// key-value store.
+fn is_equal_ignoring_prices(a: &[MachineType], b: &[MachineType]) -> bool {
     let without_prices = |f: &MachineType| MachineType {
         price: 0.0,
         spot_price: 0.0,
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -1,4 +1,5 @@
-//! Requests for machines: written down before they are sent, so that the next leader can ask for their answers.
+//! Provisioning requests, which are stored before they are sent, so that the next leader can send them again to learn
+//! their answers.
 
 use super::RETRY_PAUSE;
 use crate::clock::{Clock, sleep};
@@ -11,19 +12,19 @@
 use crate::units::Micros;
 use log::{debug, info};
 
-/// Tries of one provisioning request.
+/// Maximum number of times that one provisioning request is sent.
 const MAX_PROVISIONING_ATTEMPTS: usize = 3;
-/// Pause before a provisioning request is sent again.
+/// Pause before a failed provisioning request is sent again.
 const PROVISIONING_RETRY: Micros = Micros::secs(1);
-/// Tries of noting provisioning requests, which share the writes with everything else.
+/// Maximum number of tries to store provisioning records, which compete with all other writes for the write budget.
 const MAX_RECORD_ATTEMPTS: usize = 8;
-/// A provisioning request is remembered at least so long for the next leader.
+/// How long a provisioning record is kept at least for the next leader, unless no machine of it remains.
 const PROVISIONING_RECORD_RETENTION: Micros = Micros::secs(90);
 
-/// Carries out the scale-out of a term.
+/// Carries out the scale-out of a leader term.
 pub(super) struct Provisioner<'a> {
     pub(super) clock: Clock,
-    /// Most requests that are written down, or forgotten, in one transaction.
+    /// Maximum number of records that are stored, and of records that are deleted, in one transaction.
     pub(super) max_requests: usize,
     pub(super) kv: &'a KvClient,
     pub(super) cloud: &'a Cloud,
@@ -31,7 +32,8 @@
 }
 
 impl Provisioner<'_> {
-    /// Asks again for what an earlier leader asked for without noting the answer: the same request provisions only once.
+    /// Sends the requests of earlier leaders again whose answers were not stored; the cloud provisions each request
+    /// once.
     pub(super) async fn resume(&self) {
         let unanswered: Vec<ProvisioningRequest> = self
             .term
@@ -46,16 +48,18 @@
         }
     }
 
-    /// Provisions what is wanted: all requests are written down in one transaction before any is sent, so that the next leader
-    /// can ask for their answers, and go out side by side.
+    /// Provisions the wanted machines.
+    ///
+    /// All requests are stored in one transaction before any is sent, so that the next leader can send them again to
+    /// learn their answers. They are then sent concurrently.
     pub(super) async fn provision(&self, wanted: &[ScaleOutRequest]) {
         let expired = self.expired_records();
         let requests: Vec<(ScaleOutRequest, ProvisioningRequest)> = wanted
             .iter()
-            .flat_map(split_request)
+            .flat_map(split_scale_out)
             .take(self.max_requests)
             .map(|part| {
-                let request = self.name_request(&part);
+                let request = self.build_request(&part);
                 (part, request)
             })
             .collect();
@@ -75,7 +79,7 @@
         self.write_answers(&requests).await;
     }
 
-    /// Sends requests that are written down, side by side.
+    /// Sends stored requests concurrently.
     async fn send_all(&self, requests: &[(ScaleOutRequest, ProvisioningRequest)]) {
         for (part, _) in requests {
             self.term.scheduler.borrow_mut().on_scale_out_started(part);
@@ -89,7 +93,7 @@
         join_all(sent.collect()).await;
     }
 
-    /// Writes down what came of requests.
+    /// Stores the answers to requests.
     async fn write_answers(&self, requests: &[(ScaleOutRequest, ProvisioningRequest)]) {
         let names = requests.iter().map(|(_, request)| &request.request_name);
         let records = names.filter_map(|name| self.term.provisioning.borrow().get(name).cloned());
@@ -99,8 +103,8 @@
         }
     }
 
-    /// A request under a name that is never used again.
-    fn name_request(&self, part: &ScaleOutRequest) -> ProvisioningRequest {
+    /// Creates a request for one pool with a unique name.
+    fn build_request(&self, part: &ScaleOutRequest) -> ProvisioningRequest {
         let number = self.term.provisioning_requests_sent.get();
         self.term.provisioning_requests_sent.set(number + 1);
         ProvisioningRequest {
@@ -112,7 +116,7 @@
         }
     }
 
-    /// Sends a request, and hands the machines that came of it to the scheduler.
+    /// Sends a request, and passes the provisioned machines to the scheduler.
     async fn send(&self, request: &ProvisioningRequest) -> Vec<MachineId> {
         let machines = self.send_until_answered(request).await;
         let mut provisioning = self.term.provisioning.borrow_mut();
@@ -125,7 +129,8 @@
         machines
     }
 
-    /// Sends a request, again where the answer is lost; returns the machines, none where none were to be had.
+    /// Sends a request until it is answered or the tries are used up; returns the provisioned machines, which may be
+    /// none.
     async fn send_until_answered(&self, request: &ProvisioningRequest) -> Vec<MachineId> {
         for _ in 0..MAX_PROVISIONING_ATTEMPTS {
             match self.cloud.provision(request).await {
@@ -157,49 +162,46 @@
         Vec::new()
     }
 
-    /// The names of provisioning requests that no later leader needs: by now their machines are in every list, or gone.
+    /// Returns the names of requests whose records no later leader needs, as their machines are listed by now or are
+    /// gone.
     fn expired_records(&self) -> Vec<String> {
         let unix_time = self.clock.unix_time();
         let provisioning = self.term.provisioning.borrow();
         let old = provisioning.iter().filter(|(_, r)| {
-            let none_left = r.machines.as_ref().is_some_and(Vec::is_empty);
-            none_left || unix_time.saturating_sub(r.at) >= PROVISIONING_RECORD_RETENTION.0
+            let has_no_machines = r.machines.as_ref().is_some_and(Vec::is_empty);
+            has_no_machines || unix_time.saturating_sub(r.at) >= PROVISIONING_RECORD_RETENTION.0
         });
         old.map(|(name, _)| name.clone())
             .take(self.max_requests)
             .collect()
     }
 
-    /// Writes down provisioning requests and removes others in one transaction; false if that was not confirmed.
-    async fn write_records(
-        &self,
-        records: Vec<ProvisioningRecord>,
-        forgotten: Vec<String>,
-    ) -> bool {
+    /// Stores records and deletes expired ones in one transaction; returns false if that was not confirmed.
+    async fn write_records(&self, records: Vec<ProvisioningRecord>, expired: Vec<String>) -> bool {
         let puts = records.iter().map(|record| {
             let name = record.request.request_name.clone();
             StoreKey::Provisioning(name).put(record)
         });
-        let forgotten_keys = forgotten.iter().cloned().map(StoreKey::Provisioning);
-        let deletes = forgotten_keys.map(|key| key.delete());
+        let expired_keys = expired.iter().cloned().map(StoreKey::Provisioning);
+        let deletes = expired_keys.map(|key| key.delete());
         let changes: Vec<Change> = puts.chain(deletes).collect();
-        let when = [self.term.leader_condition()];
+        let conditions = [self.term.leader_condition()];
         let mut is_written = false;
         for _ in 0..MAX_RECORD_ATTEMPTS {
-            match self.kv.txn(Urgency::Now, &when, &changes).await {
+            match self.kv.txn(Urgency::Now, &conditions, &changes).await {
                 Ok(Outcome::Applied(_)) => {
                     is_written = true;
                     break;
                 }
                 Ok(Outcome::Conflict(_)) => break,
-                // The same again does no harm where a try was applied after all.
+                // Retrying is harmless if the failed transaction was applied, since it writes the same values.
                 Err(e) => debug!("event=provisioning_record_failed error={:?}", e.to_string()),
             }
             sleep(RETRY_PAUSE).await;
         }
         if is_written {
             let mut provisioning = self.term.provisioning.borrow_mut();
-            for request_name in &forgotten {
+            for request_name in &expired {
                 provisioning.remove(request_name);
             }
             for record in records {
@@ -210,8 +212,8 @@
     }
 }
 
-/// What is wanted of a pool in parts that one request may ask for.
-fn split_request(request: &ScaleOutRequest) -> Vec<ScaleOutRequest> {
+/// Splits a scale-out request into parts that each fit into one provisioning request.
+fn split_scale_out(request: &ScaleOutRequest) -> Vec<ScaleOutRequest> {
     let part = |count| ScaleOutRequest {
         pool: request.pool.clone(),
         count,
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -27,9 +27,9 @@
 
 /// The controllers of the deployment as seen by this one.
 ///
-/// Invariants: the fencing token in [`Membership::cluster_status`] never decreases during the life of the process, unless
-/// the view it came from is replaced after a loss of stored state; a peer counts as reachable only if its last ping was
-/// answered less than 2.2 s ago.
+/// Invariants: the fencing token in [`Membership::cluster_status`] never decreases during the life of the process,
+/// unless the view it came from is replaced after a loss of stored state; a peer counts as reachable only if its last
+/// ping was answered less than 2.2 s ago.
 pub struct Membership {
     clock: Clock,
     node: String,
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -11,8 +11,8 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// How long the client keeps an idle connection: well below the server's idle timeout, so that it does not send a request
-/// on a connection that the server is closing.
+/// How long the client keeps an idle connection: well below the server's idle timeout, so that it does not send a
+/// request on a connection that the server is closing.
 const MAX_IDLE_AGE: Micros = Micros::secs(20);
 
 /// The reason why a peer gave no reply.
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -9,8 +9,8 @@
 
 /// Upper bound of the bytes that one machine name takes in a frame.
 const MAX_NAME_BYTES: usize = 32;
-/// Maximum body length in bytes: the cancellation of a job with the maximum number of tasks, each on a different machine,
-/// fits. A heartbeat of 64 KiB is far smaller.
+/// Maximum body length in bytes: the cancellation of a job with the maximum number of tasks, each on a different
+/// machine, fits. A heartbeat of 64 KiB is far smaller.
 pub(super) const MAX_FRAME: usize = MAX_TASKS as usize * MAX_NAME_BYTES + 512 * 1024;
 
 /// Reads one frame.
--- a/src/peer/messages.rs
+++ b/src/peer/messages.rs
@@ -1,7 +1,7 @@
 //! The messages between controllers.
 //!
-//! The layout of these types is the wire format: `bitcode` writes fields and variants in declaration order, without names.
-//! Controllers of another version can't read frames after a field or variant was added, removed or moved.
+//! The layout of these types is the wire format: `bitcode` writes fields and variants in declaration order, without
+//! names. Controllers of another version can't read frames after a field or variant was added, removed or moved.
 
 use crate::fencing::FencingToken;
 use crate::scheduler::{AgentCommand, Heartbeat, JobId, MachineId};
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -5,8 +5,8 @@
 use crate::units::Micros;
 use futures_lite::future;
 
-// A peer may close an idle connection just before the next heartbeat is sent on it. Treating that error as an unreachable
-// controller once cost two hundred live machines.
+// A peer may close an idle connection just before the next heartbeat is sent on it. Treating that error as an
+// unreachable controller once cost two hundred live machines.
 #[test]
 fn a_request_on_a_closed_idle_connection_is_retried() {
     async_io::block_on(async {
--- a/src/term.rs
+++ b/src/term.rs
@@ -1,4 +1,4 @@
-//! A term of leading: the lease it hangs on, its scheduler, and why it ended.
+//! A leader term: its lease, its scheduler and the reason why it ended.
 
 mod lease;
 
@@ -17,28 +17,28 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How long the answer to a heartbeat waits for its scheduling cycle.
+/// Maximum time for which the answer to a heartbeat waits for a scheduling cycle.
 const CYCLE_TIMEOUT: Micros = Micros::millis(700);
 
-/// A term of leading.
+/// A leader term of this controller.
 ///
-/// Invariants: everything that the scheduler decides is decided under [`LeaderTerm::token`]; nothing is written but
-/// under its leader condition; commands leave only while [`LeaderTerm::may_send_commands`] holds.
+/// Invariants: every decision of the scheduler carries [`LeaderTerm::token`]; every write is conditional on the leader
+/// key being unchanged; commands are sent only while [`LeaderTerm::may_send_commands`] returns true.
 pub struct LeaderTerm {
     lease: LeaderLease,
-    /// The scheduler of this term.
+    /// The scheduler, whose state is built from the view when the term begins.
     pub scheduler: RefCell<Scheduler>,
-    /// What was asked of the cloud lately, by the names of the requests, for the next leader to know.
+    /// Recent provisioning requests by request name, as stored for the next leader.
     pub(crate) provisioning: RefCell<BTreeMap<String, ProvisioningRecord>>,
     pub(crate) provisioning_requests_sent: Cell<u64>,
-    work: Event,
+    cycle_request: Event,
     started_cycles: Cell<u64>,
     completed_cycles: Cell<u64>,
     cycle_completed: Event,
 }
 
 impl LeaderTerm {
-    /// A term that begins with what the view holds; `incarnation` makes its random choices its own.
+    /// Begins a term with the state in the view; `incarnation` and the token seed the scheduler's random choices.
     pub fn new(
         platform: &Platform,
         settings: &Settings,
@@ -54,61 +54,61 @@
             incarnation ^ lease.token.0,
             now,
         );
-        inherit(&mut scheduler, view, now);
+        load_view(&mut scheduler, view, now);
         LeaderTerm {
             lease,
             scheduler: RefCell::new(scheduler),
             provisioning: RefCell::new(view.provisioning.clone()),
             provisioning_requests_sent: Cell::new(0),
-            work: Event::new(),
+            cycle_request: Event::new(),
             started_cycles: Cell::new(0),
             completed_cycles: Cell::new(0),
             cycle_completed: Event::new(),
         }
     }
 
-    /// The fencing token of the term.
+    /// Returns the fencing token of the term, which stays the same until it ends.
     pub fn token(&self) -> FencingToken {
         self.lease.token
     }
 
-    /// The lease that the term hangs on.
+    /// Returns the leader lease, without which the term ends.
     pub fn lease(&self) -> &LeaderLease {
         &self.lease
     }
 
-    /// Whether commands may be sent: the lease certainly lasts.
+    /// Returns whether commands may be sent, which requires a lease that is certain to be valid at `now`.
     pub fn may_send_commands(&self, now: Micros) -> bool {
         self.lease.is_valid(now)
     }
 
-    /// The condition of every write of this term: the leader key is as this leader wrote it.
+    /// Returns the condition of every write of this term: the leader key has the version that this leader wrote.
     pub(crate) fn leader_condition(&self) -> Condition {
         StoreKey::Leader.has_version(self.lease.revision)
     }
 
-    /// Asks for a scheduling cycle soon.
+    /// Requests a scheduling cycle without waiting for it.
     pub(crate) fn request_cycle(&self) {
-        self.work.notify(usize::MAX);
+        self.cycle_request.notify(usize::MAX);
     }
 
-    /// Waits until a scheduling cycle is asked for.
+    /// Waits until a scheduling cycle is requested.
     pub(crate) async fn cycle_requested(&self) {
-        self.work.listen().await;
+        self.cycle_request.listen().await;
     }
 
-    /// A scheduling cycle begins.
+    /// Records that a scheduling cycle begins.
     pub(crate) fn start_cycle(&self) {
         self.started_cycles.set(self.started_cycles.get() + 1);
     }
 
-    /// The scheduling cycle that began last is complete, its writes committed.
+    /// Records that the current scheduling cycle is complete and its writes are committed.
     pub(crate) fn complete_cycle(&self) {
         self.completed_cycles.set(self.started_cycles.get());
         self.cycle_completed.notify(usize::MAX);
     }
 
-    /// Waits for a scheduling cycle that begins after this call, but not for long.
+    /// Requests a scheduling cycle and waits until one that begins after this call is complete, or for 700 ms.
     pub async fn await_next_cycle(&self) {
         let target = self.started_cycles.get() + 1;
         self.request_cycle();
@@ -124,12 +124,13 @@
         timeout(CYCLE_TIMEOUT, wait).await;
     }
 
-    /// This process was paused for `gap`: what the scheduler took for silence was its own.
+    /// Tells the scheduler that this process was paused for `gap`, so that heartbeats that could not be received
+    /// meanwhile do not count as missed.
     pub fn on_process_pause(&self, gap: Micros, now: Micros) {
         self.scheduler.borrow_mut().on_process_pause(gap, now);
     }
 
-    /// Hands a change of the view to the scheduler.
+    /// Applies a change of the view to the scheduler.
     pub(crate) fn apply_view_change(&self, view: &View, change: ViewChange, now: Micros) {
         let mut scheduler = self.scheduler.borrow_mut();
         match change {
@@ -145,8 +146,8 @@
     }
 }
 
-/// Gives a new scheduler what earlier leaders left.
-fn inherit(scheduler: &mut Scheduler, view: &View, now: Micros) {
+/// Loads the state that earlier leaders stored into a new scheduler.
+fn load_view(scheduler: &mut Scheduler, view: &View, now: Micros) {
     if let Some(machine_types) = &view.machine_types {
         scheduler.set_machine_types(&machine_types.value);
     }
@@ -169,7 +170,7 @@
     }
 }
 
-/// Gives the scheduler a job as the view has it.
+/// Adds a job to the scheduler with its chunks and its end, if it has ended, from the view.
 fn add_job(scheduler: &mut Scheduler, view: &View, id: &JobId, now: Micros) {
     if let Some(job) = view.jobs.get(id) {
         let chunks = view.chunks.get(id).into_iter().flatten();
@@ -178,26 +179,29 @@
     }
 }
 
-/// The term that this controller leads now, if it does.
+/// The current leader term of this controller, if it leads.
 ///
-/// Duties that must not depend on who leads hold this in place of a term: a term that ended is gone from here at once.
+/// Duties that run whether or not this controller leads hold this instead of a term, so that they can't use one that
+/// has ended.
 #[derive(Default)]
 pub struct CurrentTerm {
     term: RefCell<Option<Rc<LeaderTerm>>>,
 }
 
 impl CurrentTerm {
-    /// Returns the term, if this controller leads.
+    /// Returns the current term, or `None` while this controller does not lead.
     pub fn get(&self) -> Option<Rc<LeaderTerm>> {
         self.term.borrow().clone()
     }
 
-    /// Begins a term, or ends the one there is.
+    /// Replaces the current term; `None` when it has ended.
     pub fn set(&self, term: Option<Rc<LeaderTerm>>) {
         *self.term.borrow_mut() = term;
     }
 
-    /// This process was paused: it heard nobody meanwhile, and a leader must not hold that against its machines.
+    /// Tells the current term, if any, that this process was paused for `gap`.
+    ///
+    /// A paused process receives no heartbeats, and a leader must not count these as missed by its machines.
     pub fn on_process_pause(&self, gap: Micros, now: Micros) {
         if let Some(term) = self.get() {
             term.on_process_pause(gap, now);
--- a/src/term/lease.rs
+++ b/src/term/lease.rs
@@ -1,4 +1,4 @@
-//! The lease that a term hangs on, and the reasons for which a term ends.
+//! The leader lease, and the reasons why a leader term ends.
 
 use crate::fencing::FencingToken;
 use crate::kv::LeaseId;
@@ -7,51 +7,51 @@
 use std::cell::Cell;
 use thiserror::Error;
 
-/// Why a term ended, or could not begin.
+/// The reason why a leader term ended or could not begin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum TermEnd {
-    /// A higher fencing token is known.
+    /// A peer or the view reported a higher fencing token.
     #[error("another controller leads")]
     Superseded,
-    /// The lease expired at the state service.
+    /// The key-value store reported that the lease no longer exists.
     #[error("lease lost")]
     LeaseExpired,
-    /// The leader key is no more as this leader wrote it.
+    /// The leader key no longer has the version that this leader wrote.
     #[error("the leader key is another's")]
     LeaderKeyChanged,
-    /// Evidence was found that the state service lost stored state.
+    /// There is evidence that the key-value store lost stored state.
     #[error("stored state was lost")]
     StateLost,
-    /// The cached view does not catch up with this leader's own writes.
+    /// The view did not catch up with this leader's own writes in time.
     #[error("the view does not follow")]
     ViewStalled,
-    /// The state service rejected a write as malformed.
+    /// The key-value store rejected a write as malformed.
     #[error("a write was found senseless")]
     WriteRejected,
-    /// The state service rejected a read as malformed.
+    /// The key-value store rejected a read as malformed.
     #[error("a read was found senseless")]
     ReadRejected,
-    /// Keys that only this leader writes were changed: its picture is wrong.
+    /// Keys that only this leader writes were changed, so its scheduler's state is wrong.
     #[error("an unexpected conflict")]
     UnexpectedConflict,
 }
 
-/// A lease on leading, won in an election.
+/// The lease that a controller holds after it won an election.
 pub struct LeaderLease {
-    /// The fencing token.
+    /// The fencing token of the term.
     pub token: FencingToken,
-    /// The version of the leader key: the fencing token less what is added to it after a loss of stored state.
+    /// The version of the leader key: the fencing token without the base that is added after a loss of stored state.
     pub revision: Revision,
-    /// The lease that the leader key hangs on.
+    /// The id of the lease to which the leader key is attached.
     pub id: LeaseId,
-    /// Losses of stored state that this process had found by then.
+    /// The number of losses of stored state that this process had detected before the election.
     pub losses_found: u64,
-    /// Until when it certainly lasts, by this controller's own clock.
+    /// The time until which the lease is certain to be valid, by this controller's own clock.
     valid_until: Cell<Micros>,
 }
 
 impl LeaderLease {
-    /// A lease of `ttl` that was asked for at `requested_at`.
+    /// Creates a lease with time to live `ttl` that was requested at `requested_at`.
     pub fn new(
         token: FencingToken,
         revision: Revision,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// A lease that has expired, of a deployment that never lost stored state.
+    /// Creates an expired lease of a deployment that never lost stored state.
     #[cfg(test)]
     pub(crate) fn expired(token: u64, id: u64) -> LeaderLease {
         LeaderLease::new(
@@ -82,19 +82,20 @@
         )
     }
 
-    /// Whether nobody else can lead yet.
+    /// Returns whether the lease is certain to be valid at `now`, so that no other controller can lead.
     pub fn is_valid(&self, now: Micros) -> bool {
         now < self.valid_until.get()
     }
 
-    /// Notes that the lease was renewed by a request sent at `requested_at`.
+    /// Extends the lease after a successful renewal that was requested at `requested_at`.
     pub fn renew(&self, requested_at: Micros, ttl: Micros) {
         self.valid_until.set(expiry(requested_at, ttl));
     }
 }
 
-/// The end of a lease of `ttl` renewed by a request sent at `requested_at`: clocks may drift by 0.05%, so a hundredth is
-/// more than enough.
+/// Returns the time until which a lease requested at `requested_at` is certain to be valid.
+///
+/// Clocks may drift by 0.05%, so a margin of 1% is more than enough.
 fn expiry(requested_at: Micros, ttl: Micros) -> Micros {
     requested_at + ttl.scaled(99, 100)
 }
--- a/src/term/lease/tests.rs
+++ b/src/term/lease/tests.rs
@@ -15,25 +15,25 @@
     )
 }
 
-// Guards against a leader whose clock is slow acting on a lease that has expired at the state service.
+// A leader with a slow clock must not act under a lease that has already expired in the key-value store.
 #[test]
-fn lease_counts_from_its_request_and_ends_a_hundredth_early() {
+fn lease_starts_at_its_request_and_expires_one_percent_early() {
     let lease = lease(Micros::secs(100), Micros::secs(2));
     assert!(lease.is_valid(Micros::millis(101_979)));
     assert!(!lease.is_valid(Micros::millis(101_980)));
 }
 
 #[test]
-fn renewal_counts_from_its_own_request() {
+fn renewed_lease_starts_at_the_renewal_request() {
     let lease = lease(Micros::secs(100), Micros::secs(2));
     lease.renew(Micros::millis(100_500), Micros::secs(2));
     assert!(lease.is_valid(Micros::millis(102_479)));
     assert!(!lease.is_valid(Micros::millis(102_480)));
 }
 
-// Guards against log lines that change under dashboards: the reasons are part of `leader_term_ended`.
+// Dashboards match these reasons in the `leader_term_ended` log line.
 #[test]
-fn reasons_of_a_terms_end_are_stable() {
+fn term_end_reasons_are_stable() {
     let reasons = [
         (TermEnd::Superseded, "another controller leads"),
         (TermEnd::LeaseExpired, "lease lost"),
