--- a/src/election.rs
+++ b/src/election.rs
@@ -180,7 +180,7 @@
     }
 
     /// Renews the lease until it is lost, stored state is lost or another controller leads; returns the reason.
-    pub async fn hold(&self, lease: &LeaderLease) -> TermEnd {
+    pub async fn renew_until_lost(&self, lease: &LeaderLease) -> TermEnd {
         let mut is_outage_logged = false;
         loop {
             sleep(self.ttl.scaled(1, 4)).await;
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -76,7 +76,10 @@
             .or(inventory.refresh_machine_types())
             .or(inventory.refresh_machine_list())
             .or(fleet.run());
-        self.election.hold(term.lease()).or(duties).await
+        self.election
+            .renew_until_lost(term.lease())
+            .or(duties)
+            .await
     }
 
     fn scheduling_loop<'a>(&'a self, term: &'a LeaderTerm) -> SchedulingLoop<'a> {
--- a/src/leader/elections.rs
+++ b/src/leader/elections.rs
@@ -46,9 +46,9 @@
 
     /// Restores lost state, if any, while renewing the lease; returns the reason if the term can't begin.
     async fn restore(&self, lease: &LeaderLease) -> Option<TermEnd> {
-        let hold = async { Some(self.election.hold(lease).await) };
+        let renewal = async { Some(self.election.renew_until_lost(lease).await) };
         let restore = async { self.state_loss.restore(lease).await.err() };
-        restore.or(hold).await
+        restore.or(renewal).await
     }
 
     /// Sets the share of the key-value store's request budget to that of a follower, an equal part for each controller.
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Provisions the wanted machines.
+    /// Provisions the requested machines.
     ///
     /// All requests are stored in one transaction before any is sent, so that the next leader can send them again to
     /// learn their answers. They are then sent concurrently.
-    pub(super) async fn provision(&self, wanted: &[ScaleOutRequest]) {
+    pub(super) async fn provision(&self, scale_out: &[ScaleOutRequest]) {
         let expired = self.expired_records();
-        let requests: Vec<(ScaleOutRequest, ProvisioningRequest)> = wanted
+        let requests: Vec<(ScaleOutRequest, ProvisioningRequest)> = scale_out
             .iter()
             .flat_map(split_scale_out)
             .take(self.max_requests)
@@ -129,8 +129,7 @@
         machines
     }
 
-    /// Sends a request until it is answered or the tries are used up; returns the provisioned machines, which may be
-    /// none.
+    /// Sends a request until it is answered or the tries are used up; returns the provisioned machines, if any.
     async fn send_until_answered(&self, request: &ProvisioningRequest) -> Vec<MachineId> {
         for _ in 0..MAX_PROVISIONING_ATTEMPTS {
             match self.cloud.provision(request).await {
@@ -162,8 +161,8 @@
         Vec::new()
     }
 
-    /// Returns the names of requests whose records no later leader needs, as their machines are listed by now or are
-    /// gone.
+    /// Returns the names of requests whose records no later leader needs: their machines are listed by now, or
+    /// terminated.
     fn expired_records(&self) -> Vec<String> {
         let unix_time = self.clock.unix_time();
         let provisioning = self.term.provisioning.borrow();
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,4 +1,5 @@
-//! This controller's view of its peers: which are reachable, the last status each reported, and which controller leads.
+//! The status of the other controllers (peers): which are reachable, what each reported last, and which controller
+//! leads.
 
 use crate::clock::Clock;
 use crate::config::{Member, Platform};
@@ -29,7 +30,7 @@
 ///
 /// Invariants: the fencing token in [`Membership::cluster_status`] never decreases during the life of the process,
 /// unless the view it came from is replaced after a loss of stored state; a peer counts as reachable only if its last
-/// ping was answered less than 2.2 s ago.
+/// ping was answered, and not longer ago than the peer timeout.
 pub struct Membership {
     clock: Clock,
     node: String,
@@ -189,7 +190,7 @@
         self.members.iter().all(|m| statuses.contains_key(&m.node))
     }
 
-    /// Returns whether a peer answered its last ping within the timeout.
+    /// Returns whether the last ping to a peer was answered, and not longer ago than the timeout.
     ///
     /// A peer that only lost the key-value store still counts as reachable, since it can still relay heartbeats.
     pub fn is_peer_reachable(&self, node: &str) -> bool {
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -51,7 +51,7 @@
     /// Sends a request and waits up to `time_limit` for the reply.
     ///
     /// If the exchange on an idle connection fails, the request is sent again on a new connection, because the peer may
-    /// only have closed the idle one. The peer may then process the request twice, which is harmless for heartbeats and
+    /// only have closed the idle one. It may then process the request twice, which is harmless for heartbeats and
     /// pings.
     pub async fn call(
         &self,
@@ -63,7 +63,7 @@
             cluster_status,
             message,
         };
-        let work = async {
+        let attempts = async {
             if let Some(idle_stream) = self.take_idle()
                 && let Ok(reply) = self.exchange(idle_stream, &frame).await
             {
@@ -72,7 +72,7 @@
             let new_stream = Stream::connect(self.addr).await?;
             Ok(self.exchange(new_stream, &frame).await?)
         };
-        let result = timeout(time_limit, work)
+        let result = timeout(time_limit, attempts)
             .await
             .unwrap_or(Err(PeerError::TimedOut));
         if result.is_err() {
--- a/src/term.rs
+++ b/src/term.rs
@@ -72,7 +72,7 @@
         self.lease.token
     }
 
-    /// Returns the leader lease, without which the term ends.
+    /// Returns the leader lease, which the election renews during the term.
     pub fn lease(&self) -> &LeaderLease {
         &self.lease
     }
@@ -108,7 +108,7 @@
         self.cycle_completed.notify(usize::MAX);
     }
 
-    /// Requests a scheduling cycle and waits until one that begins after this call is complete, or for 700 ms.
+    /// Requests a scheduling cycle and waits until one that begins after this call is complete, or for a limited time.
     pub async fn await_next_cycle(&self) {
         let target = self.started_cycles.get() + 1;
         self.request_cycle();
