--- a/src/api.rs
+++ b/src/api.rs
@@ -1,4 +1,5 @@
-//! The interfaces of a controller: HTTP for users, health checks and the agents on machines, frames for other controllers.
+//! The server APIs of a controller: HTTP for users, health checks and worker agents, and framed requests from other
+//! controllers.
 
 pub mod admission;
 pub mod peers;
@@ -6,5 +7,5 @@
 mod wire;
 pub mod workers;
 
-/// When users are to come back after a trouble that passes soon, in seconds.
+/// `Retry-After` value, in seconds, for conditions that are expected to pass quickly.
 const RETRY_AFTER_TRANSIENT_S: u64 = 1;
--- a/src/api/admission.rs
+++ b/src/api/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control: which submissions are taken.
+//! Admission control: decides which job submissions are accepted.
 
 use super::RETRY_AFTER_TRANSIENT_S;
 use crate::clock::Clock;
@@ -12,12 +12,12 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// When to come back to a service that has as many jobs as it takes, in seconds.
+/// `Retry-After` value, in seconds, when the number of active jobs has reached the admission cap.
 const RETRY_AFTER_OVERLOAD_S: u64 = 15;
-/// The least time between two log lines that say that submissions are refused.
+/// Minimum time between two log lines about submissions refused at the admission cap.
 const LIMIT_LOG_INTERVAL: Micros = Micros::secs(10);
 
-/// Why a new job is not taken.
+/// Reason why a new job is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(super) enum Rejection {
     #[error("state service out of reach")]
@@ -51,19 +51,19 @@
     }
 }
 
-/// Decides which submissions are taken: those that can run at all, while there are not too many jobs.
+/// Accepts the submissions that can run at all, as long as the number of active jobs is below a cap.
 ///
-/// The cap is soft: controllers count by their own views.
+/// The cap is soft: each controller counts the jobs in its own view, which may lag behind the key-value store.
 pub struct AdmissionControl {
     clock: Clock,
     teams: BTreeMap<String, TeamQuota>,
-    /// Most jobs that are accepted and not ended.
+    /// Maximum number of jobs that are accepted and have not ended.
     cap: usize,
     limit_logged_at: Cell<Micros>,
 }
 
 impl AdmissionControl {
-    /// Admission by these settings.
+    /// Creates the admission control with the teams of `platform` and the cap that `settings` gives for it.
     pub fn new(platform: &Platform, settings: &Settings) -> AdmissionControl {
         AdmissionControl {
             clock: Clock,
@@ -73,11 +73,11 @@
         }
     }
 
-    /// Decides whether a new job is taken, as of the view.
+    /// Checks whether a new job is accepted, judged by the view.
     ///
     /// # Errors
     ///
-    /// Returns why it is not taken.
+    /// Returns the reason for a rejection.
     pub(super) fn check(
         &self,
         spec: &JobSpec,
@@ -93,14 +93,14 @@
             .ok_or(Rejection::MachineTypesUnknown)?;
         check_feasible(spec, &machine_types.value, &self.teams)?;
         if view.jobs.len() >= self.cap && view.active_jobs() >= self.cap {
-            self.log_limit(view.active_jobs());
+            self.log_limit_reached(view.active_jobs());
             return Err(Rejection::Overloaded);
         }
         Ok(())
     }
 
-    /// Logs that submissions are refused, as there are as many jobs as this controller takes; not for each of them.
-    fn log_limit(&self, active: usize) {
+    /// Logs that submissions are refused at the admission cap, at most once per [`LIMIT_LOG_INTERVAL`].
+    fn log_limit_reached(&self, active: usize) {
         let now = self.clock.now();
         if now.since(self.limit_logged_at.get()) >= LIMIT_LOG_INTERVAL {
             self.limit_logged_at.set(now);
@@ -112,7 +112,8 @@
     }
 }
 
-/// Checks that the job can run at all.
+/// Checks that the team exists, that one task fits an allowed machine type, and that the tasks that have to run at the
+/// same time fit the team's limit.
 fn check_feasible(
     spec: &JobSpec,
     machine_types: &[MachineType],
@@ -125,12 +126,12 @@
     if !machine_types.iter().any(fits) {
         return Err(Rejection::FitsNoMachineType);
     }
-    let at_once = match spec.shape {
+    let concurrent_tasks = match spec.shape {
         Shape::Array => 1,
         Shape::Gang | Shape::Service => spec.tasks as usize,
     };
-    let total: Resources = need.times(at_once);
-    if !team.allows(&total) {
+    let concurrent_need: Resources = need.times(concurrent_tasks);
+    if !team.allows(&concurrent_need) {
         return Err(Rejection::ExceedsTeamLimit);
     }
     Ok(())
--- a/src/api/peers.rs
+++ b/src/api/peers.rs
@@ -1,4 +1,4 @@
-//! The interface for the other controllers: pings, and heartbeats that they relay.
+//! The API for other controllers: pings, and heartbeats that they relay.
 
 use super::workers::WorkerApi;
 use crate::cancellation::CancellationService;
@@ -6,18 +6,19 @@
 use crate::peer::{Frame, PeerReply, PeerRequest};
 use std::rc::Rc;
 
-/// Answers the requests of other controllers.
+/// Handles requests from other controllers.
 pub struct PeerApi {
-    /// The other controllers, and who leads.
+    /// Reachability and cluster status of the other controllers.
     pub membership: Rc<Membership>,
-    /// Cancelled jobs.
+    /// Cancellations that are known to this controller.
     pub cancellations: Rc<CancellationService>,
-    /// Answers relayed heartbeats.
+    /// Handles relayed heartbeats.
     pub workers: Rc<WorkerApi>,
 }
 
 impl PeerApi {
-    /// Answers a request; whatever it is, both sides learn what the other knows of who leads.
+    /// Handles a request. Every request and reply also carries the sender's cluster status, so both sides learn which
+    /// leader and fencing token the other knows.
     pub async fn answer(&self, frame: Frame<PeerRequest>) -> Frame<PeerReply> {
         self.membership.observe(&frame.cluster_status);
         let message = match frame.message {
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -1,4 +1,4 @@
-//! The interface for users and health checks.
+//! The HTTP API for users and health checks.
 
 use super::RETRY_AFTER_TRANSIENT_S;
 use super::admission::AdmissionControl;
@@ -17,24 +17,24 @@
 use serde::Serialize;
 use std::rc::Rc;
 
-/// How long a submission or cancellation is tried before its user is told to come back.
+/// Time during which the commit of a submission or cancellation is retried before the user gets a 503 response.
 const COMMIT_TIMEOUT: Micros = Micros::millis(1_500);
-/// Pause between two tries.
+/// Pause between two attempts to commit.
 const COMMIT_RETRY_INTERVAL: Micros = Micros::millis(60);
-/// How long the view may take to show a cancellation that was committed.
+/// Maximum time to wait until the view shows a committed cancellation.
 const VISIBILITY_TIMEOUT: Micros = Micros::millis(1_000);
-/// When to come back while stored state is being rebuilt, in seconds.
+/// `Retry-After` value, in seconds, while stored state is being rebuilt.
 const RETRY_AFTER_REBUILD_S: u64 = 3;
 
-/// What is known of a job's state.
+/// Result of looking up a job's status.
 enum StatusLookup {
     Found(JobStatus),
     NoSuchJob,
-    /// The state service did not say in time, or the answer could not be kept: the user asks again.
+    /// The state service did not answer in time, or the cancellation could not be confirmed. The user has to retry.
     Unavailable,
 }
 
-/// The answer to a submission or a cancellation.
+/// Response body for a submission or a cancellation.
 #[derive(Serialize)]
 struct JobAnswer<'a> {
     #[serde(rename = "nameId")]
@@ -48,37 +48,37 @@
     }
 }
 
-/// The answer to a health check of a controller that is ready.
+/// Response body for a health check of a controller that is ready.
 #[derive(Serialize)]
 struct ReadyAnswer {
     ready: bool,
 }
 
-/// Answers users and health checks.
+/// Handles requests from users and health checks.
 ///
-/// Invariants: an answer to a submission is sent only once its record is committed; a state other than a final one is
-/// answered only after a read barrier.
+/// Invariants: a submission is acknowledged only after its record is committed; a status that is not final is returned
+/// only after a read barrier.
 pub struct UserApi {
-    /// The clock.
+    /// Source of monotonic time and of the Unix time that is stored in records.
     pub clock: Clock,
-    /// The state service.
+    /// Client of the state service.
     pub kv: Rc<KvClient>,
-    /// The cached view.
+    /// Cached view of the key-value store.
     pub store: Rc<StateCache>,
-    /// The other controllers.
+    /// Reachability and cluster status of the other controllers.
     pub membership: Rc<Membership>,
-    /// Recovery after a loss of stored state.
+    /// State loss recovery, which decides when only final states may be returned.
     pub state_loss: Rc<StateLossRecovery>,
-    /// Cancelled jobs.
+    /// Cancellations that are known to this controller.
     pub cancellations: Rc<CancellationService>,
-    /// Decides which jobs are taken.
+    /// Decides which submissions are accepted.
     pub admission: AdmissionControl,
-    /// The largest record of a submission, in bytes.
+    /// Maximum size of a submission's stored record, in bytes.
     pub max_record_bytes: f64,
 }
 
 impl UserApi {
-    /// Answers a request of a user, or says that the path is unknown.
+    /// Handles a request; returns 404 for an unknown path and 405 for a wrong method.
     pub async fn answer(&self, request: &HttpRequest) -> HttpResponse {
         let path: Vec<&str> = request.path.trim_matches('/').split('/').collect();
         match (path.as_slice(), request.method) {
@@ -108,10 +108,10 @@
         };
         let id = spec.id.clone();
         if self.state_loss.withholds_answers() {
-            return self.final_answer(&id);
+            return self.final_status_or_retry(&id);
         }
         if self.store.view.borrow().knows(&id) {
-            return self.answer_existing(&id).await;
+            return self.respond_existing(&id).await;
         }
         let is_reachable = self.store.reachable();
         let admitted = self
@@ -123,7 +123,7 @@
         self.commit_submission(spec).await
     }
 
-    /// Writes the record of a job, unless one is there already, and answers its user.
+    /// Commits the record of a job unless the job already exists, and returns the response for the user.
     async fn commit_submission(&self, spec: JobSpec) -> HttpResponse {
         let id = spec.id.clone();
         let record = JobRecord {
@@ -146,26 +146,28 @@
                 );
                 HttpResponse::json(201, &JobAnswer::new(&id, PENDING))
             }
-            Some(Outcome::Conflict(_)) => self.answer_existing(&id).await,
-            None => no_answer_from_state_service(),
+            Some(Outcome::Conflict(_)) => self.respond_existing(&id).await,
+            None => state_service_timeout(),
         }
     }
 
-    /// The answer to a repeated submission, which is idempotent: the job's present state.
-    async fn answer_existing(&self, id: &JobId) -> HttpResponse {
+    /// Returns the current status of an existing job. Submissions are idempotent, so this is the response to a repeated
+    /// one.
+    async fn respond_existing(&self, id: &JobId) -> HttpResponse {
         match self.confirmed_status(id).await {
             StatusLookup::Found(status) => HttpResponse::json(200, &status),
-            // It was known a moment ago, so this view lags; the user asks again.
-            StatusLookup::NoSuchJob | StatusLookup::Unavailable => no_answer_from_state_service(),
+            // The job was known a moment ago, so this view lags behind. The user retries.
+            StatusLookup::NoSuchJob | StatusLookup::Unavailable => state_service_timeout(),
         }
     }
 
-    /// A job's state: a final one from the view as it is, any other only after a read barrier.
+    /// Returns a job's status. A final status is read from the view without waiting, any other only after a read
+    /// barrier.
     ///
-    /// Guards against an answer older than one that another controller gave.
+    /// Without the barrier, the status could be older than one that another controller has already returned.
     async fn linearizable_status(&self, id: &JobId) -> StatusLookup {
         let has_ended = self.store.view.borrow().ends.contains_key(id);
-        // Stored state may turn out to be lost during the barrier.
+        // A loss of stored state may be detected during the barrier.
         if !has_ended && (!self.store.barrier().await || self.state_loss.withholds_answers()) {
             return StatusLookup::Unavailable;
         }
@@ -175,7 +177,8 @@
         }
     }
 
-    /// A job's state as its user may be told it: that it is cancelled only once that can be kept.
+    /// Returns a job's status as it may be shown to a user: a cancelled job is reported as cancelled only after the
+    /// cancellation is confirmed (see [`CancellationService::confirm`]).
     async fn confirmed_status(&self, id: &JobId) -> StatusLookup {
         let lookup = self.linearizable_status(id).await;
         if let StatusLookup::Found(status) = &lookup
@@ -187,18 +190,18 @@
         lookup
     }
 
-    /// The answer where no other can be true for certain, as stored state was lost: a final state that is known, as these never
-    /// change, or when to come back.
-    fn final_answer(&self, id: &JobId) -> HttpResponse {
+    /// Returns the response while stored state is lost or being rebuilt: the status of a job that is known to be done,
+    /// because a final status never changes, or otherwise a 503 response with `Retry-After`.
+    fn final_status_or_retry(&self, id: &JobId) -> HttpResponse {
         let loss = self.store.loss.borrow();
-        let lost = loss.as_ref().and_then(|loss| loss.snapshot.as_ref());
+        let snapshot = loss.as_ref().and_then(|loss| loss.snapshot.as_ref());
         let view = self.store.view.borrow();
-        let views = [Some(&*view), lost].into_iter().flatten();
-        let mut done = views.filter(|view| {
+        let views = [Some(&*view), snapshot].into_iter().flatten();
+        let mut views_with_done = views.filter(|view| {
             view.end(id)
                 .is_some_and(|end| end.outcome == JobOutcome::Done)
         });
-        match done.find_map(|view| view.status(id)) {
+        match views_with_done.find_map(|view| view.status(id)) {
             Some(status) => HttpResponse::json(200, &status),
             None => HttpResponse::retry_later(
                 503,
@@ -213,12 +216,12 @@
             return no_such_job();
         };
         if self.state_loss.withholds_answers() {
-            return self.final_answer(&id);
+            return self.final_status_or_retry(&id);
         }
         match self.confirmed_status(&id).await {
             StatusLookup::Found(status) => HttpResponse::json(200, &status),
             StatusLookup::NoSuchJob => no_such_job(),
-            StatusLookup::Unavailable => no_answer_from_state_service(),
+            StatusLookup::Unavailable => state_service_timeout(),
         }
     }
 
@@ -227,14 +230,14 @@
             return no_such_job();
         };
         if self.state_loss.withholds_answers() {
-            return self.final_answer(&id);
+            return self.final_status_or_retry(&id);
         }
         let is_known = self.store.view.borrow().knows(&id);
         if !is_known {
             match self.linearizable_status(&id).await {
                 StatusLookup::Found(_) => {}
                 StatusLookup::NoSuchJob => return no_such_job(),
-                StatusLookup::Unavailable => return no_answer_from_state_service(),
+                StatusLookup::Unavailable => return state_service_timeout(),
             }
         }
         if self.end_of(&id).is_none()
@@ -252,7 +255,7 @@
                 "a controller can not be told",
                 RETRY_AFTER_TRANSIENT_S,
             ),
-            None => no_answer_from_state_service(),
+            None => state_service_timeout(),
         }
     }
 
@@ -260,18 +263,19 @@
         self.store.view.borrow().end(id)
     }
 
-    /// Writes that a job is cancelled, unless it has ended; afterwards the view shows how it ended.
+    /// Commits the cancellation of a job unless the job has already ended. After success the view shows how the job
+    /// ended.
     ///
     /// # Errors
     ///
-    /// Returns the answer to the user where that is not certain.
+    /// Returns the response for the user if the outcome of the commit, or its visibility in the view, is uncertain.
     async fn commit_cancellation(&self, id: &JobId) -> Result<(), HttpResponse> {
         let end = JobEnd {
             outcome: JobOutcome::Aborted,
             at: self.clock.unix_time(),
             done: self.store.view.borrow().status(id).map_or(0, |s| s.done),
         };
-        // The one key that decides between done and aborted; whoever writes it first.
+        // This key alone decides between done and aborted: the first writer wins.
         let key = StoreKey::JobEnd(id.clone());
         let conditions = [key.is_absent()];
         let put = [key.put(&end)];
@@ -279,36 +283,36 @@
             Some(Outcome::Applied(revision)) => {
                 self.store.record_commits(revision, &put);
                 info!("event=job_cancelled job={id}");
-                // The view then shows all that was ever placed of the job, as nothing is placed after its end.
-                let is_shown = self
+                // From then on the view shows every placement the job ever had, as nothing is placed after its end.
+                let is_visible = self
                     .store
                     .wait_for_revision(revision, VISIBILITY_TIMEOUT)
                     .await;
-                if is_shown {
+                if is_visible {
                     Ok(())
                 } else {
-                    Err(no_answer_from_state_service())
+                    Err(state_service_timeout())
                 }
             }
             Some(Outcome::Conflict(_)) => {
                 self.store.barrier().await;
                 Ok(())
             }
-            None => Err(no_answer_from_state_service()),
+            None => Err(state_service_timeout()),
         }
     }
 
-    /// Commits at once, or gives up within [`COMMIT_TIMEOUT`].
+    /// Commits a transaction with retries; returns `None` if there is no certain outcome within [`COMMIT_TIMEOUT`].
     ///
-    /// A try without an answer may have been applied, or may be later; the same transaction again then finds its key
-    /// taken, which the caller reads as "known".
-    async fn commit(&self, when: &[Condition], writes: &[Change]) -> Option<Outcome> {
-        let until = self.clock.now() + COMMIT_TIMEOUT;
-        let losses = self.store.losses_found();
+    /// An attempt without a response may have been applied, or may still be applied later. Retrying the same
+    /// transaction then fails on the key that the first attempt wrote, which the caller treats as "already exists".
+    async fn commit(&self, conditions: &[Condition], writes: &[Change]) -> Option<Outcome> {
+        let deadline = self.clock.now() + COMMIT_TIMEOUT;
+        let losses_before = self.store.losses_found();
         loop {
-            match self.kv.txn_with_retransmit(when, writes).await.0 {
-                // What was committed may be lost already: its user asks again.
-                Ok(_) if self.kv.has_evidence() || self.store.losses_found() != losses => {
+            match self.kv.txn_with_retransmit(conditions, writes).await.0 {
+                // The committed write may already be lost, so the user has to retry.
+                Ok(_) if self.kv.has_evidence() || self.store.losses_found() != losses_before => {
                     return None;
                 }
                 Ok(outcome) => {
@@ -318,7 +322,7 @@
                 Err(KvError::Refused(e)) => debug!("event=commit_refused error={e:?}"),
                 Err(e) => debug!("event=commit_unanswered error={e}"),
             }
-            if self.clock.now() + COMMIT_RETRY_INTERVAL >= until || !self.store.reachable() {
+            if self.clock.now() + COMMIT_RETRY_INTERVAL >= deadline || !self.store.reachable() {
                 return None;
             }
             sleep(COMMIT_RETRY_INTERVAL).await;
@@ -326,8 +330,8 @@
     }
 }
 
-/// The answer where the state service did not say in time what holds: the user asks again.
-fn no_answer_from_state_service() -> HttpResponse {
+/// Returns the response for a state service that did not answer in time. The user has to retry.
+fn state_service_timeout() -> HttpResponse {
     HttpResponse::retry_later(503, "state service did not answer", RETRY_AFTER_TRANSIENT_S)
 }
 
--- a/src/api/wire.rs
+++ b/src/api/wire.rs
@@ -1,11 +1,11 @@
-//! What workers are answered, in the names and the order of the protocol.
+//! Response bodies for workers, with the field names and field order of the protocol.
 
 use crate::fencing::FencingToken;
 use crate::http::HttpResponse;
 use crate::scheduler::AgentCommand;
 use serde::Serialize;
 
-/// The answer to a heartbeat.
+/// Response body for a heartbeat.
 #[derive(Serialize)]
 struct HeartbeatAnswer<'a> {
     #[serde(rename = "orders")]
@@ -14,7 +14,7 @@
     token: FencingToken,
 }
 
-/// A command to a worker. The fields stand in the order in which they are sent.
+/// A command to a worker. The field order is the order on the wire.
 #[derive(Serialize)]
 struct CommandMessage<'a> {
     #[serde(rename = "slackS", skip_serializing_if = "Option::is_none")]
@@ -54,25 +54,25 @@
     }
 }
 
-/// The controller that a worker is to turn to.
+/// Response body that names the controller to which a worker should send its heartbeats.
 #[derive(Serialize)]
 struct Redirect<'a> {
     #[serde(rename = "muster")]
     node: &'a str,
 }
 
-/// The answer of a leader, or in the name of one that can't be asked.
-pub(super) fn answer_with(token: FencingToken, commands: &[AgentCommand]) -> HttpResponse {
+/// Returns the response to a heartbeat: the leader's own, or one given on its behalf while it can't be reached.
+pub(super) fn heartbeat_response(token: FencingToken, commands: &[AgentCommand]) -> HttpResponse {
     let commands = commands.iter().map(CommandMessage::from).collect();
     HttpResponse::json(200, &HeartbeatAnswer { commands, token })
 }
 
-/// Sends a worker to another controller.
+/// Returns the response that redirects a worker to another controller.
 pub(super) fn redirect(node: &str) -> HttpResponse {
     HttpResponse::json(421, &Redirect { node })
 }
 
-/// Lets a worker look for another controller by itself.
+/// Returns the response for a worker that has to choose another controller itself.
 pub(super) fn no_leader() -> HttpResponse {
     HttpResponse::error(503, "no leader within reach")
 }
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -1,6 +1,6 @@
-//! The interface for workers: heartbeats are answered by the leader, whichever controller they reach.
+//! The API for workers. Heartbeats are answered by the leader, whichever controller receives them.
 
-use super::wire::{answer_with, no_leader, redirect};
+use super::wire::{heartbeat_response, no_leader, redirect};
 use crate::cancellation::CancellationService;
 use crate::clock::Clock;
 use crate::contacts::ContactTracker;
@@ -16,47 +16,48 @@
 use log::{debug, warn};
 use std::rc::Rc;
 
-/// How long the leader may take when asked directly, and through another controller.
+/// Timeout of one request that forwards a heartbeat, to the leader or to a controller that relays it.
 const FORWARD_TIMEOUT: Micros = Micros::millis(1_000);
-/// How long all routes to the leader may take together: a worker waits four seconds.
+/// Timeout for all routes to the leader together. A worker waits 4 s for its response.
 const TOTAL_FORWARD_TIMEOUT: Micros = Micros::millis(1_500);
-/// The same for a worker that came from elsewhere: its lease may be nearly over.
+/// Like [`TOTAL_FORWARD_TIMEOUT`], for a worker whose last heartbeats did not come here: its lease may be about to
+/// expire.
 const FIRST_CONTACT_TIMEOUT: Micros = Micros::millis(700);
-/// After a failure the direct route is not tried for so long.
+/// Time during which the direct route to a controller is not tried after a failure.
 const ROUTE_SUSPENSION: Micros = Micros::secs(3);
 
-/// What a worker is answered.
+/// The answer to a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
-    /// The fencing token of the leader.
+    /// Fencing token of the leader that answered.
     pub token: FencingToken,
-    /// What the worker is to do.
+    /// Commands that the worker has to execute.
     pub commands: Vec<AgentCommand>,
-    /// The controller that the worker should send its heartbeats to instead.
+    /// Name of the controller to which the worker should send its heartbeats, or `None` if it should stay.
     pub redirect_to: Option<String>,
 }
 
-/// Answers the heartbeats of workers, whether they came here or through another controller.
+/// Handles heartbeats of workers, received directly or relayed by another controller.
 ///
-/// Invariants: commands are sent under the leader's fencing token only while its lease certainly lasts, those that stop
-/// cancelled tasks excepted; no answer carries a lower fencing token than the worker has seen.
+/// Invariants: commands are sent under the leader's fencing token only while its lease is certain to be valid, except
+/// those that stop cancelled tasks; no answer carries a lower fencing token than the worker has already received.
 pub struct WorkerApi {
-    /// The clock.
+    /// Source of monotonic time.
     pub clock: Clock,
-    /// The other controllers, and who leads.
+    /// Reachability and cluster status of the other controllers.
     pub membership: Rc<Membership>,
-    /// The connections to them.
+    /// Connections to the other controllers.
     pub peers: Rc<Vec<Peer>>,
-    /// The term that this controller leads, if it does.
+    /// Leader term of this controller, if it leads.
     pub current_term: Rc<CurrentTerm>,
-    /// The workers that come here.
+    /// Workers whose heartbeats come to this controller.
     pub contacts: Rc<ContactTracker>,
-    /// Cancelled jobs.
+    /// Cancellations that are known to this controller.
     pub cancellations: Rc<CancellationService>,
 }
 
 impl WorkerApi {
-    /// Answers a worker's request.
+    /// Handles an HTTP request from a worker.
     pub async fn answer(&self, request: &HttpRequest) -> HttpResponse {
         if request.method != Method::Post {
             return HttpResponse::error(405, "wrong method");
@@ -74,14 +75,16 @@
                 redirect_to: Some(other),
                 ..
             }) => redirect(&other),
-            // A worker drops a lower token but stays, while its lease runs out: it must be sent elsewhere.
+            // The worker ignores an answer with a lower token but keeps sending here while its lease runs out, so it
+            // has to choose another controller.
             Some(answer) if answer.token < heartbeat.token => no_leader(),
-            Some(answer) => answer_with(answer.token, &answer.commands),
+            Some(answer) => heartbeat_response(answer.token, &answer.commands),
             None => self.answer_without_leader(&heartbeat),
         }
     }
 
-    /// The answer where no leader can be asked: it keeps the worker's tasks alive, and starts nothing.
+    /// Returns the response when no leader can be reached. It renews the worker's lease, so that its tasks keep
+    /// running, but starts nothing.
     fn answer_without_leader(&self, heartbeat: &Heartbeat) -> HttpResponse {
         let machine = heartbeat.machine.clone();
         if let Some(other) = self.contacts.redirect_target(&machine, &heartbeat.zone) {
@@ -93,38 +96,40 @@
             return no_leader();
         }
         self.contacts.record_contact(machine);
-        answer_with(token, &self.stop_commands_for_cancelled(heartbeat))
+        heartbeat_response(token, &self.stop_commands_for_cancelled(heartbeat))
     }
 
-    /// The leader's answer, asked for wherever it is; `None` where it can't be had in time.
+    /// Returns the leader's answer, from this controller or a remote one; `None` if there is none in time.
     async fn answer_heartbeat(&self, heartbeat: &Heartbeat) -> Option<Answer> {
         if let Some(term) = self.current_term.get() {
-            // Guards against a leader that lost the state service and all others while its workers still reach it: another
-            // leads by now, so they are handed on like those of any controller that is alone.
-            let deposed =
+            // A leader may have lost the state service and all other controllers while its workers still reach it.
+            // Another one may lead by then, so the workers are redirected as they are by any isolated controller.
+            let may_be_deposed =
                 self.membership.is_isolated() && !term.may_send_commands(self.clock.now());
             let answer = self.answer_as_leader(&term, heartbeat, "").await;
-            return answer.filter(|_| !deposed);
+            return answer.filter(|_| !may_be_deposed);
         }
-        let own = self.membership.node().to_owned();
-        let limit = if self.contacts.is_first_contact(&heartbeat.machine) {
+        let own_node = self.membership.node().to_owned();
+        let time_limit = if self.contacts.is_first_contact(&heartbeat.machine) {
             FIRST_CONTACT_TIMEOUT
         } else {
             TOTAL_FORWARD_TIMEOUT
         };
-        timeout(limit, self.forward(heartbeat, &own, true))
+        timeout(time_limit, self.forward(heartbeat, &own_node, true))
             .await
             .flatten()
     }
 
-    /// The leader's own answer to a heartbeat.
+    /// Returns the answer of this controller as the leader. `via` is the controller that relayed the heartbeat, empty
+    /// for a direct one.
     async fn answer_as_leader(
         &self,
         term: &LeaderTerm,
         heartbeat: &Heartbeat,
         via: &str,
     ) -> Option<Answer> {
-        // Somebody else leads, or the worker is wrong: it is sent elsewhere, and who leads is asked of the controllers.
+        // Either another controller leads or the worker is faulty: it is sent elsewhere, and the other controllers are
+        // asked who leads.
         if heartbeat.token > term.token() {
             return None;
         }
@@ -133,17 +138,18 @@
             .scheduler
             .borrow_mut()
             .on_heartbeat(heartbeat, via, now);
-        let unwritten = term.scheduler.borrow().awaits_write(&heartbeat.machine);
-        if outcome.fresh && (outcome.changed || unwritten) {
-            // What the heartbeat brought is written, and what it made room for is placed, before the worker is answered.
+        let awaits_commit = term.scheduler.borrow().awaits_write(&heartbeat.machine);
+        if outcome.fresh && (outcome.changed || awaits_commit) {
+            // Before the worker is answered, the reported changes are committed and tasks are placed on the resources
+            // they freed.
             term.await_next_cycle().await;
         }
         let commands = if !outcome.fresh {
             Vec::new()
         } else if term.may_send_commands(self.clock.now()) {
-            let at = heartbeat.position();
+            let position = heartbeat.position();
             let mut scheduler = term.scheduler.borrow_mut();
-            scheduler.commands_for(&heartbeat.machine, at, now)
+            scheduler.commands_for(&heartbeat.machine, position, now)
         } else {
             self.stop_commands_for_cancelled(heartbeat)
         };
@@ -153,24 +159,25 @@
             token: term.token(),
             commands,
             redirect_to: may_redirect
-                .then(|| self.rebalance(term, heartbeat))
+                .then(|| self.rebalance_target(term, heartbeat))
                 .flatten(),
         })
     }
 
-    /// Where a worker that needs nothing is redirected, if this leader holds too many of them.
-    fn rebalance(&self, term: &LeaderTerm, heartbeat: &Heartbeat) -> Option<String> {
-        let takes_redirect = term.scheduler.borrow_mut().takes_redirect();
-        takes_redirect
+    /// Returns the controller to which a worker that has no pending work is redirected, if this leader receives the
+    /// heartbeats of too many workers.
+    fn rebalance_target(&self, term: &LeaderTerm, heartbeat: &Heartbeat) -> Option<String> {
+        let should_redirect = term.scheduler.borrow_mut().takes_redirect();
+        should_redirect
             .then(|| self.membership.peer_in_zone(&heartbeat.zone))
             .flatten()
     }
 
-    /// Stops for what a heartbeat shows of cancelled jobs.
+    /// Returns stop commands for the active tasks of cancelled jobs in a heartbeat.
     ///
-    /// The only commands that need no lease: a cancelled job stays cancelled whoever leads, and a worker that has seen a higher
-    /// token drops them. Guards against cancelled tasks that run on because the leader, or every controller, is refused by the
-    /// state service for longer than a cancellation may take.
+    /// These are the only commands that need no leader lease: a cancelled job stays cancelled whoever leads, and a
+    /// worker that has received a higher token ignores them. Without them, cancelled tasks would run past the
+    /// cancellation time limit if the state service refuses the leader, or every controller, for longer than that.
     fn stop_commands_for_cancelled(&self, heartbeat: &Heartbeat) -> Vec<AgentCommand> {
         let running = heartbeat
             .tasks
@@ -187,12 +194,12 @@
         stop.collect()
     }
 
-    /// Asks the leader on a worker's behalf: directly, and if that fails through another controller.
+    /// Forwards a heartbeat to the leader: directly, and if that fails and `relay` is set, through another controller.
     async fn forward(&self, heartbeat: &Heartbeat, via: &str, relay: bool) -> Option<Answer> {
         let leader = self.membership.cluster_status().leader?;
-        let direct = self.peers.iter().find(|p| p.node == leader)?;
+        let leader_peer = self.peers.iter().find(|p| p.node == leader)?;
         if !self.membership.is_route_suspended(&leader) {
-            match self.ask(direct, heartbeat, via, false).await {
+            match self.forward_to(leader_peer, heartbeat, via, false).await {
                 Some(answer) => return Some(answer),
                 None => self.membership.suspend_route(&leader, ROUTE_SUSPENSION),
             }
@@ -204,15 +211,16 @@
             if other.node == leader || self.membership.is_route_suspended(&other.node) {
                 continue;
             }
-            if let Some(answer) = self.ask(other, heartbeat, via, true).await {
+            if let Some(answer) = self.forward_to(other, heartbeat, via, true).await {
                 return Some(answer);
             }
         }
         None
     }
 
-    /// Asks another controller to answer a heartbeat, or to relay it once more if `relay` is set.
-    async fn ask(
+    /// Forwards a heartbeat to another controller, which answers it as the leader or, if `relay` is set, forwards it to
+    /// the leader.
+    async fn forward_to(
         &self,
         peer: &Peer,
         heartbeat: &Heartbeat,
@@ -250,7 +258,7 @@
         }
     }
 
-    /// Answers a heartbeat that another controller passed on.
+    /// Handles a heartbeat that another controller forwarded.
     pub async fn answer_relayed(&self, heartbeat: Heartbeat, via: &str, relay: bool) -> PeerReply {
         self.cancellations.on_heartbeat(&heartbeat);
         let answer = match self.current_term.get() {
