--- a/src/connections.rs
+++ b/src/connections.rs
@@ -1,4 +1,4 @@
-//! How many connections a controller holds, and what it does when sockets get short.
+//! Limits the connections that a controller accepts, and closes some of them early when sockets run low.
 
 use crate::config::Platform;
 use crate::units::Micros;
@@ -6,26 +6,26 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// How long a connection may stand idle, at the least, and while sockets are getting short.
+/// Minimum of [`Connections::idle_limit`], in normal operation and at high socket use.
 const MIN_IDLE_LIMIT: Micros = Micros::secs(60);
-const MIN_IDLE_LIMIT_SHORT: Micros = Micros::secs(20);
-/// The same in heartbeat intervals: longer than any worker is silent between two heartbeats.
+const MIN_IDLE_LIMIT_HIGH_USE: Micros = Micros::secs(20);
+/// The same as a number of heartbeat intervals: longer than the time between two heartbeats of any worker.
 const IDLE_HEARTBEATS: u64 = 4;
-const IDLE_HEARTBEATS_SHORT: u64 = 2;
+const IDLE_HEARTBEATS_HIGH_USE: u64 = 2;
 
-/// The accepted connections of one controller, counted against its sockets.
+/// The accepted connections of one controller, counted against its socket limit.
 ///
-/// Invariant: the count is that of the living [`OpenConnection`]s.
+/// Invariant: the count equals the number of [`OpenConnection`]s that have not been dropped.
 pub struct Connections {
     open: Cell<usize>,
-    /// Most connections that are accepted: some sockets are kept back for the state service, the cloud and the other
-    /// controllers.
+    /// Maximum number of accepted connections. The other sockets are reserved for the state service, the cloud and the
+    /// other controllers.
     max: usize,
     heartbeat_interval: Micros,
     is_shortage_logged: Cell<bool>,
 }
 
-/// An accepted connection; it is counted until it is dropped.
+/// An accepted connection, which counts against the limit until it is dropped.
 pub struct OpenConnection {
     connections: Rc<Connections>,
 }
@@ -38,7 +38,7 @@
 }
 
 impl Connections {
-    /// No connections yet.
+    /// Creates the counter, with the socket limit and the heartbeat interval of `platform`.
     pub fn new(platform: &Platform) -> Connections {
         let max_sockets = platform.facts.machine_limits.max_sockets;
         Connections::with_limits(max_sockets, platform.heartbeat_interval())
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Returns how many connections are accepted at the most.
+    /// Returns the maximum number of accepted connections.
     pub fn max(&self) -> usize {
         self.max
     }
 
-    /// Counts in one more connection; `None` where no more are accepted.
+    /// Counts a new connection; returns `None` if the limit is reached.
     pub fn accept(self: &Rc<Self>) -> Option<OpenConnection> {
         if self.open.get() >= self.max {
             return None;
@@ -69,34 +69,35 @@
         })
     }
 
-    /// Whether sockets are so short that workers' connections end with each answer as well, and open anew for the next
-    /// heartbeat.
+    /// Returns whether so few sockets are free that workers' connections are also closed after each response, and
+    /// reopened for the next heartbeat.
     ///
-    /// Guards against idle connections of some workers that keep out the others, where fewer sockets than workers are left:
-    /// each heartbeat is then answered in its turn, and no worker loses its lease.
+    /// Prevents the idle connections of some workers from keeping the others out when there are fewer free sockets than
+    /// workers: each heartbeat then gets its turn, and no worker loses its lease.
     pub fn is_limit_near(&self) -> bool {
         self.open.get() > self.max * 9 / 10
     }
 
-    /// Whether sockets are getting short, so that connections of users end with each answer and idle ones end soon.
+    /// Returns whether sockets are running low, so that users' connections are closed after each response and idle
+    /// connections after a shorter time.
     ///
-    /// Guards against users' connections keeping out workers, as after a filter between controllers, when the leader may
-    /// have to take every worker of the fleet.
+    /// Prevents users' connections from keeping workers out, for example after a network partition between controllers,
+    /// when the leader may have to accept the connections of the whole fleet.
     pub fn is_use_high(&self) -> bool {
         self.open.get() > self.max * 3 / 4
     }
 
-    /// How long a connection may stand idle: for longer than any worker is silent between two heartbeats.
+    /// Returns how long a connection may stay idle: longer than the time between two heartbeats of any worker.
     pub fn idle_limit(&self) -> Micros {
         let (min, heartbeats) = if self.is_use_high() {
-            (MIN_IDLE_LIMIT_SHORT, IDLE_HEARTBEATS_SHORT)
+            (MIN_IDLE_LIMIT_HIGH_USE, IDLE_HEARTBEATS_HIGH_USE)
         } else {
             (MIN_IDLE_LIMIT, IDLE_HEARTBEATS)
         };
         min.max(self.heartbeat_interval.scaled(heartbeats, 1))
     }
 
-    /// Logs when sockets get short, and when they are not any more.
+    /// Logs the start and the end of a socket shortage.
     pub fn log_shortage(&self) {
         let connections = self.open.get();
         let max = self.max;
--- a/src/contacts.rs
+++ b/src/contacts.rs
@@ -1,5 +1,5 @@
-//! The workers whose heartbeats come to this controller: which are new here, which heartbeats can't be relayed to the leader,
-//! and where their workers are redirected.
+//! Tracks the workers whose heartbeats come to this controller: which of them are new here, whose heartbeats can't be
+//! forwarded to the leader, and where those workers are redirected.
 
 use crate::clock::{Clock, sleep};
 use crate::config::Platform;
@@ -14,41 +14,42 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// How long a worker takes for a controller that does not answer: four seconds, and one until it tries the next.
+/// Time that a worker loses on a controller that does not respond: 4 s until its request times out and 1 s until it
+/// tries the next controller.
 const WORKER_ATTEMPT_TIMEOUT: Micros = Micros::secs(5);
-/// How long contacts gather before they are told.
+/// Time during which contacts are collected before they are written to the key-value store together.
 const COALESCE_WINDOW: Micros = Micros::millis(200);
-/// Values of contacts in one transaction, which may take 64 KiB in all.
+/// Maximum number of contact values in one transaction, which is limited to 64 KiB in total.
 const MAX_VALUES_PER_TXN: usize = 6;
-/// The largest value of contacts, so that several fit into one transaction.
+/// Maximum size of a contact value, so that several fit into one transaction.
 const MAX_VALUE_BYTES: f64 = 8.0 * 1024.0;
-/// The part of a value that is filled.
-const VALUE_FILL: f64 = 0.9;
+/// Fraction of the maximum value size that is used.
+const VALUE_FILL_FRACTION: f64 = 0.9;
 
-/// What a controller remembers of the workers whose heartbeats come to it.
+/// The recent contacts of workers with one controller.
 ///
-/// Invariant: a worker is redirected only after a heartbeat of it was answered here just now, and not again before twice its
-/// lease has passed.
+/// Invariant: a worker is redirected only if a heartbeat of it was answered here a moment ago, and not again until
+/// twice its lease has passed.
 pub struct ContactTracker {
     clock: Clock,
     kv: Rc<KvClient>,
     store: Rc<StateCache>,
     membership: Rc<Membership>,
     heartbeat_interval: Micros,
-    /// How long a worker lives without an answer.
+    /// Time after which a worker without an answer loses its lease.
     lease: Micros,
     max_values_per_txn: usize,
     max_value_bytes: usize,
-    /// Machines whose heartbeats could not be relayed.
+    /// Machines whose heartbeats could not be forwarded to the leader recently.
     unforwarded: RefCell<ExpiringMap<MachineId, ()>>,
     new_contact: Event,
-    /// How often a machine was sent to another controller of late.
-    redirected: RefCell<ExpiringMap<MachineId, usize>>,
-    recently_seen: RefCell<ExpiringMap<MachineId, ()>>,
+    /// Number of recent redirects per machine, with the time of the last one.
+    redirects: RefCell<ExpiringMap<MachineId, usize>>,
+    recent_contacts: RefCell<ExpiringMap<MachineId, ()>>,
 }
 
 impl ContactTracker {
-    /// A controller to which no worker came yet.
+    /// Creates a tracker without contacts.
     pub fn new(
         platform: &Platform,
         kv: Rc<KvClient>,
@@ -58,8 +59,8 @@
         let heartbeat_interval = platform.heartbeat_interval();
         let lease = Micros::from_secs_f64(platform.facts.workers.lease_s);
         let limits = &platform.facts.state;
-        let max_value_bytes = (limits.value_kb * 1024.0).min(MAX_VALUE_BYTES) * VALUE_FILL;
-        let lasting = |time: Micros| RefCell::new(ExpiringMap::new(time.0));
+        let max_value_bytes = (limits.value_kb * 1024.0).min(MAX_VALUE_BYTES) * VALUE_FILL_FRACTION;
+        let expiring_map = |lifetime: Micros| RefCell::new(ExpiringMap::new(lifetime.0));
         ContactTracker {
             clock: Clock,
             kv,
@@ -69,14 +70,14 @@
             lease,
             max_values_per_txn: limits.txn_ops.min(MAX_VALUES_PER_TXN),
             max_value_bytes: max_value_bytes as usize,
-            unforwarded: lasting(heartbeat_interval.scaled(3, 2)),
+            unforwarded: expiring_map(heartbeat_interval.scaled(3, 2)),
             new_contact: Event::new(),
-            redirected: RefCell::new(ExpiringMap::new(lease.scaled(10, 1).0)),
-            recently_seen: lasting(heartbeat_interval.scaled(2, 1)),
+            redirects: RefCell::new(ExpiringMap::new(lease.scaled(10, 1).0)),
+            recent_contacts: expiring_map(heartbeat_interval.scaled(2, 1)),
         }
     }
 
-    /// A machine reported here, and its heartbeat can't be passed on.
+    /// Records that a heartbeat of a machine was received here and can't be forwarded to the leader.
     pub fn record_contact(&self, machine: MachineId) {
         let now = self.clock.now();
         let mut unforwarded = self.unforwarded.borrow_mut();
@@ -84,85 +85,98 @@
         self.new_contact.notify(usize::MAX);
     }
 
-    /// Whether a worker's heartbeat is the first here for a while; it is not the next time.
+    /// Returns whether this is the first heartbeat of a machine here for a while, and records it.
     pub fn is_first_contact(&self, machine: &MachineId) -> bool {
         let now = self.clock.now();
-        let mut recently_seen = self.recently_seen.borrow_mut();
-        recently_seen.insert(machine.clone(), (), now.0).is_none()
+        let mut recent_contacts = self.recent_contacts.borrow_mut();
+        recent_contacts.insert(machine.clone(), (), now.0).is_none()
     }
 
-    /// Where to send a worker whose heartbeat can't be passed on, if it may be sent away.
+    /// Returns the controller to which a worker should be redirected whose heartbeat can't be forwarded, or `None` if
+    /// it must stay.
     ///
-    /// Its lease must outlast a try of a controller that turns out to be silent for it too, after which it comes back
-    /// here: so it was answered here just now, it is sent only as many places before this one in the order of names as
-    /// its lease allows, and after that it is left in peace for a while.
+    /// If the target does not respond to the worker either, the worker comes back here, and its lease must last until
+    /// then. So a worker is redirected only after a heartbeat of it was answered here a moment ago, only to a
+    /// controller that precedes this one in the order of names by no more positions than its lease allows attempts, and
+    /// not again until twice its lease has passed.
     pub fn redirect_target(&self, machine: &MachineId, zone: &str) -> Option<String> {
         let now = self.clock.now();
         let unforwarded = self.unforwarded.borrow();
         unforwarded.get(machine, now.0)?;
         let lease = self.lease;
-        let mut redirected = self.redirected.borrow_mut();
-        let before = redirected
+        let mut redirects = self.redirects.borrow_mut();
+        let previous = redirects
             .get(machine, now.0)
-            .map(|(at, times)| (Micros(at), *times));
-        if before.is_some_and(|(at, _)| now.since(at) < lease.scaled(2, 1)) {
+            .map(|(at, redirect_count)| (Micros(at), *redirect_count));
+        if previous.is_some_and(|(at, _)| now.since(at) < lease.scaled(2, 1)) {
             return None;
         }
-        let times = before.map_or(0, |(_, times)| times);
-        let to = if self.membership.is_isolated() {
-            self.preceding_controller(times, lease)?
+        let redirect_count = previous.map_or(0, |(_, redirect_count)| redirect_count);
+        let target = if self.membership.is_isolated() {
+            self.preceding_controller(redirect_count, lease)?
         } else {
-            self.leader_behind_filter(zone)?
+            self.leader_reachable_from_zone(zone)?
         };
-        redirected.insert(machine.clone(), times + 1, now.0);
-        Some(to)
+        redirects.insert(machine.clone(), redirect_count + 1, now.0);
+        Some(target)
     }
 
-    /// A controller so few places before this one that a worker tries all between and is back within its lease.
-    pub(crate) fn preceding_controller(&self, times: usize, lease: Micros) -> Option<String> {
-        let spent = self.heartbeat_interval.scaled(5, 4) + Micros::secs(2);
-        let tries = (lease.since(spent).0 / WORKER_ATTEMPT_TIMEOUT.0) as usize;
+    /// Returns a controller that precedes this one in the cyclic order of names, by so few positions that a worker can
+    /// try all controllers from there on and be back here within its lease. Successive redirects of a worker take the
+    /// possible positions in turn.
+    pub(crate) fn preceding_controller(
+        &self,
+        redirect_count: usize,
+        lease: Micros,
+    ) -> Option<String> {
+        let elapsed_before_redirect = self.heartbeat_interval.scaled(5, 4) + Micros::secs(2);
+        let max_attempts =
+            (lease.since(elapsed_before_redirect).0 / WORKER_ATTEMPT_TIMEOUT.0) as usize;
         let members = self.membership.members().iter();
         let mut names: Vec<&str> = members.map(|m| m.node.as_str()).collect();
         names.push(self.membership.node());
         names.sort_unstable();
-        let own = names.iter().position(|n| *n == self.membership.node())?;
-        let max_back = tries.min(names.len() - 1);
-        if max_back == 0 {
+        let own_index = names.iter().position(|n| *n == self.membership.node())?;
+        let max_steps_back = max_attempts.min(names.len() - 1);
+        if max_steps_back == 0 {
             return None;
         }
-        let back = 1 + times % max_back;
-        Some(names[(own + names.len() - back) % names.len()].to_owned())
+        let steps_back = 1 + redirect_count % max_steps_back;
+        Some(names[(own_index + names.len() - steps_back) % names.len()].to_owned())
     }
 
-    /// The leader, if it is known to lead, and it is a filter between the controllers and no cut of zones that keeps
-    /// reports from it: a worker of its zone reaches it, and where not even controllers of one zone reach each other,
-    /// any does.
-    fn leader_behind_filter(&self, zone: &str) -> Option<String> {
+    /// Returns the leader if workers of `zone` probably reach it although this controller does not.
+    ///
+    /// This needs a leader that the view shows while the state service is reachable. A leader in `zone` is reached by
+    /// its workers. If this controller can't reach any other controller of its own zone either, the partition separates
+    /// controllers, not zones, and any worker reaches the leader.
+    fn leader_reachable_from_zone(&self, zone: &str) -> Option<String> {
         if !self.store.reachable() {
             return None;
         }
         let leader = self.store.view.borrow().leader.as_ref()?.value.node.clone();
         let members = self.membership.members();
-        let home = members.iter().find(|m| m.node == leader)?;
+        let leader_member = members.iter().find(|m| m.node == leader)?;
         let mut zone_peers = members
             .iter()
             .filter(|m| m.zone == self.membership.zone())
             .peekable();
-        // One that ended proves nothing.
-        let filtered = zone_peers.peek().is_some()
+        // Without another controller in this zone, nothing shows which kind of partition it is.
+        let zone_peers_unreachable = zone_peers.peek().is_some()
             && !zone_peers.any(|m| self.membership.is_peer_reachable(&m.node));
-        (home.zone == zone || filtered).then_some(leader)
+        (leader_member.zone == zone || zone_peers_unreachable).then_some(leader)
     }
 
-    /// Tells the leader, by the state service, of machines whose heartbeats can't be relayed.
+    /// Writes to the key-value store which machines send heartbeats here that can't be forwarded, so that the leader
+    /// learns of them.
     ///
-    /// Guards against a cut zone being taken for dead machines.
+    /// Without this, the leader would take the machines of a partitioned zone for dead.
     pub async fn publish(&self) {
         let interval = self.heartbeat_interval;
         loop {
             self.new_contact.listen().await;
-            // The first heartbeat that can't be passed on is told at once, with those that come in the next moment.
+            // The first heartbeat that can't be forwarded is reported immediately, together with those that arrive
+            // within the window.
             sleep(COALESCE_WINDOW).await;
             let now = self.clock.now();
             let machines: Vec<MachineId> = {
@@ -176,10 +190,10 @@
             if machines.is_empty() || !has_leader || self.membership.is_leading() {
                 continue;
             }
-            let puts = self.records(&machines);
-            // Each value is a change of its own, but all go in as few requests as they fit into.
-            for some in puts.chunks(self.max_values_per_txn) {
-                if let Err(e) = self.kv.txn(Urgency::Paced, &[], some).await {
+            let changes = self.contact_records(&machines);
+            // Each value is a change of its own; a transaction holds as many of them as fit.
+            for batch in changes.chunks(self.max_values_per_txn) {
+                if let Err(e) = self.kv.txn(Urgency::Paced, &[], batch).await {
                     debug!("event=contacts_write_failed error={:?}", e.to_string());
                 }
             }
@@ -187,25 +201,25 @@
         }
     }
 
-    /// The names of machines in as many values as it takes.
-    fn records(&self, machines: &[MachineId]) -> Vec<Change> {
+    /// Returns the changes that store the names of machines, in as few values as the size limit allows.
+    fn contact_records(&self, machines: &[MachineId]) -> Vec<Change> {
         let mut values: Vec<Vec<&MachineId>> = Vec::new();
-        let mut left = 0;
+        let mut remaining_bytes = 0;
         for machine in machines {
             // The name in quotes, and a comma.
             let bytes = machine.0.len() + 3;
             match values.last_mut() {
-                Some(value) if bytes <= left => value.push(machine),
+                Some(value) if bytes <= remaining_bytes => value.push(machine),
                 _ => {
-                    left = self.max_value_bytes;
+                    remaining_bytes = self.max_value_bytes;
                     values.push(vec![machine]);
                 }
             }
-            left = left.saturating_sub(bytes);
+            remaining_bytes = remaining_bytes.saturating_sub(bytes);
         }
-        let put = |(part, some): (usize, Vec<&MachineId>)| {
+        let put = |(part, names): (usize, Vec<&MachineId>)| {
             let node = self.membership.node().to_owned();
-            StoreKey::Contacts { node, part }.put(&some)
+            StoreKey::Contacts { node, part }.put(&names)
         };
         values.into_iter().enumerate().map(put).collect()
     }
