--- a/src/cancellation.rs
+++ b/src/cancellation.rs
@@ -1,8 +1,8 @@
-//! Cancellations that users are told of: which controllers know of them, and where their tasks may be left.
+//! Tracks cancellations: which controllers know of them, and on which machines their tasks may still run.
 //!
-//! A user may hear "aborted" from any controller, and a worker may send its heartbeats to any controller, also to one that
-//! the state service refuses. So whoever says it tells all the others first; and what none of them can tell a worker is
-//! ended by terminating its machine.
+//! A user may get the status "aborted" from any controller, and a worker may send its heartbeats to any controller,
+//! including one that the state service refuses. So a controller notifies all others before it reports a cancellation
+//! to a user. Machines that no controller can send a stop command to are terminated.
 
 mod service;
 
@@ -15,69 +15,74 @@
 use ravenhead_recovery::HeartbeatPosition;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A start that was sent just before a cancellation can still arrive for so long: a worker waits four seconds for it.
+/// Time during which a start command that was sent just before a cancellation can still arrive: a worker waits 4 s for
+/// a response.
 const COMMAND_DELIVERY_TIMEOUT: Micros = Micros::secs(5);
-/// Most bytes of names sent in one message, a single cancellation aside: that goes whole, and fits into a frame.
+/// Maximum size of the names in one message, in bytes. A single larger cancellation is sent whole; it still fits into a
+/// frame.
 const MAX_CANCELLATION_BYTES: usize = 256 * 1024;
-/// Most findings of machines without cancelled tasks sent in one message; the others follow in the next.
+/// Maximum number of cleared machines in one message. The rest follows in the next message.
 const MAX_CLEARED_PER_MESSAGE: usize = 8_192;
 
-/// What is known of a machine on which cancelled tasks may be left.
+/// Knowledge about the tasks of a cancelled job on one machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Residue {
-    /// Nothing that shows them gone.
+    /// Tasks may still run: no heartbeat has shown otherwise.
     Possible,
-    /// One heartbeat without them, at this position.
-    AbsentOnce(HeartbeatPosition),
-    /// They are gone.
+    /// One heartbeat, at this position, reported no active task of the job.
+    AbsentInOneHeartbeat(HeartbeatPosition),
+    /// No task of the job is left.
     Cleared,
 }
 
 impl Residue {
-    /// What is known after a heartbeat at this position, in which tasks of the job are active or are not.
+    /// Returns the state after a heartbeat at position `at`. `is_active` tells whether it reports active tasks of the
+    /// job.
     fn after(self, at: HeartbeatPosition, is_active: bool) -> Residue {
         match self {
             Residue::Cleared => Residue::Cleared,
             _ if is_active => Residue::Possible,
-            Residue::Possible => Residue::AbsentOnce(at),
-            Residue::AbsentOnce(before) if at > before => Residue::Cleared,
-            Residue::AbsentOnce(before) => Residue::AbsentOnce(before),
+            Residue::Possible => Residue::AbsentInOneHeartbeat(at),
+            Residue::AbsentInOneHeartbeat(first_at) if at > first_at => Residue::Cleared,
+            Residue::AbsentInOneHeartbeat(first_at) => Residue::AbsentInOneHeartbeat(first_at),
         }
     }
 }
 
-/// What is known of a cancelled job.
+/// A cancelled job, and what is known of its tasks.
 #[derive(Debug)]
 struct CancellationEntry {
-    /// When it was committed, by the time of day in microseconds.
+    /// Time of the cancellation's commit, as Unix time in microseconds.
     committed_at: u64,
     machines: BTreeMap<MachineId, Residue>,
-    /// Whether users may be told: all controllers know, or the machines whose tasks they can't stop will be terminated.
+    /// Whether the cancellation may be reported to users: all controllers know of it, or machines that they can't stop
+    /// the tasks on will be terminated.
     confirmed: bool,
 }
 
-/// What an incarnation of another controller acknowledged.
+/// The cancellations that one incarnation (process) of another controller has acknowledged.
 #[derive(Debug, Default)]
 struct PeerAcknowledgements {
     incarnation: u64,
     jobs: BTreeSet<JobId>,
 }
 
-/// The cancellations that one controller knows of besides what its view shows.
+/// The cancellations that one controller knows of, including those that its view does not show.
 #[derive(Debug, Default)]
 pub struct Cancellations {
     entries: BTreeMap<JobId, CancellationEntry>,
     acknowledged: BTreeMap<String, PeerAcknowledgements>,
-    /// Machines on which cancelled tasks may be left, with the jobs.
+    /// Cancelled jobs per machine on which their tasks may still run.
     ///
-    /// Guards against looking at every cancellation for every heartbeat.
+    /// Saves checking every cancellation for every heartbeat.
     residue_by_machine: HashMap<MachineId, BTreeSet<JobId>>,
-    /// Machines that were found without cancelled tasks, and when.
+    /// Machines that were found to run no more tasks of a cancelled job, with the Unix time of the finding in
+    /// microseconds.
     cleared: CursorLog<(u64, ResidueCleared)>,
 }
 
 impl Cancellations {
-    /// Takes in a cancellation, and the machines on which its tasks may be.
+    /// Records a cancellation and the machines on which its tasks may run.
     pub fn insert(&mut self, cancellation: &Cancellation) {
         let job = &cancellation.job;
         let entry = self
@@ -97,7 +102,7 @@
         }
     }
 
-    /// A heartbeat of a machine need not be looked at for a cancelled job any more.
+    /// Removes a cancelled job from those that heartbeats of a machine are checked for.
     fn stop_tracking(&mut self, machine: &MachineId, job: &JobId) {
         if let Some(jobs) = self.residue_by_machine.get_mut(machine) {
             jobs.remove(job);
@@ -107,29 +112,29 @@
         }
     }
 
-    /// Nothing of a cancelled job is left on a machine.
-    fn clear(&mut self, cleared: ResidueCleared, unix_time: u64) {
+    /// Records that a machine runs no more tasks of a cancelled job.
+    fn record_cleared(&mut self, cleared: ResidueCleared, unix_time: u64) {
         self.stop_tracking(&cleared.machine, &cleared.job);
         self.cleared.push((unix_time, cleared));
     }
 
-    /// The cancellations that are known, and when each was committed.
+    /// Returns the known cancelled jobs with the Unix time of each cancellation in microseconds.
     pub fn cancelled(&self) -> impl Iterator<Item = (&JobId, u64)> {
         let entries = self.entries.iter();
         entries.map(|(job, entry)| (job, entry.committed_at))
     }
 
-    /// Whether the job is known to be cancelled.
+    /// Returns whether the job is known to be cancelled.
     pub fn contains(&self, job: &JobId) -> bool {
         self.entries.contains_key(job)
     }
 
-    /// Whether users may be told.
+    /// Returns whether the cancellation of the job may be reported to users.
     pub fn is_confirmed(&self, job: &JobId) -> bool {
         self.entries.get(job).is_some_and(|entry| entry.confirmed)
     }
 
-    /// Whether nothing of a cancelled job is left anywhere.
+    /// Returns whether no machine has tasks of a cancelled job left.
     fn is_cleared(&self, job: &JobId) -> bool {
         let is_cleared = |residue: &Residue| *residue == Residue::Cleared;
         let entry = self.entries.get(job);
@@ -142,7 +147,7 @@
         }
     }
 
-    /// Returns what another controller has not acknowledged yet, as much as one message holds.
+    /// Returns the cancellations that a peer has not acknowledged yet, up to the size limit of one message.
     pub fn unacknowledged(&self, peer: &str) -> Vec<Cancellation> {
         let acknowledged = self.acknowledged.get(peer);
         let mut bytes = 0;
@@ -163,10 +168,10 @@
             .collect()
     }
 
-    /// An incarnation of another controller acknowledged these.
+    /// Records that an incarnation of a peer acknowledged cancellations.
     ///
-    /// Guards against a controller that was told, ended, and is back without a memory of it: what its former self was
-    /// told it is told again.
+    /// Acknowledgements of an earlier incarnation are discarded: a restarted controller has lost what it was sent, so
+    /// it is sent all cancellations again.
     pub fn acknowledge(&mut self, peer: &str, incarnation: u64, jobs: &[Cancellation]) {
         let acknowledged = self.acknowledged.entry(peer.to_owned()).or_default();
         if acknowledged.incarnation != incarnation {
@@ -178,8 +183,8 @@
         acknowledged.jobs.extend(jobs.iter().map(|c| c.job.clone()));
     }
 
-    /// Takes in what a heartbeat shows of cancelled tasks on its machine: they are gone once two heartbeats in a row, from
-    /// after the time in which a start could still arrive, show none.
+    /// Updates what is known of cancelled tasks on a machine from its heartbeat. Tasks count as gone after two
+    /// successive heartbeats without them, both from after the time in which a start command could still arrive.
     pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, unix_time: u64) {
         let machine = &heartbeat.machine;
         let Some(jobs) = self.residue_by_machine.get(machine) else {
@@ -192,10 +197,10 @@
             let Some(entry) = self.entries.get_mut(job) else {
                 continue;
             };
-            let starts_until = entry
+            let delivery_deadline = entry
                 .committed_at
                 .saturating_add(COMMAND_DELIVERY_TIMEOUT.0);
-            if unix_time < starts_until {
+            if unix_time < delivery_deadline {
                 continue;
             }
             let Some(residue) = entry.machines.get_mut(machine) else {
@@ -209,35 +214,36 @@
         }
         for job in cleared {
             let machine = machine.clone();
-            self.clear(ResidueCleared { job, machine }, unix_time);
+            self.record_cleared(ResidueCleared { job, machine }, unix_time);
         }
     }
 
-    /// Tasks of these jobs are gone from these machines.
+    /// Records machines that run no more tasks of cancelled jobs, as found elsewhere.
     pub fn on_residue_cleared(&mut self, cleared: &[ResidueCleared], unix_time: u64) {
         for cleared in cleared {
             let entry = self.entries.get_mut(&cleared.job);
             let residue = entry.and_then(|entry| entry.machines.get_mut(&cleared.machine));
             if let Some(residue) = residue.filter(|r| **r != Residue::Cleared) {
                 *residue = Residue::Cleared;
-                self.clear(cleared.clone(), unix_time);
+                self.record_cleared(cleared.clone(), unix_time);
             }
         }
     }
 
-    /// Returns the place from which a reader gets what is found cleared from now on.
+    /// Returns a cursor for reading the cleared machines that are found after this call.
     pub fn residue_cleared_cursor(&self) -> Cursor {
         self.cleared.end()
     }
 
-    /// Returns what was found cleared from a place on, as much as one message holds, and the place after it.
+    /// Returns the machines found cleared since a cursor, up to the limit of one message, and the cursor for the next
+    /// call.
     pub fn residue_cleared_since(&self, from: Cursor) -> (Vec<ResidueCleared>, Cursor) {
-        let (found, next) = self.cleared.read(from, MAX_CLEARED_PER_MESSAGE);
-        (found.map(|(_, cleared)| cleared.clone()).collect(), next)
+        let (batch, next) = self.cleared.read(from, MAX_CLEARED_PER_MESSAGE);
+        (batch.map(|(_, cleared)| cleared.clone()).collect(), next)
     }
 
-    /// Returns machines on which tasks of jobs that were cancelled longer ago than `grace_period` may be left: what is to be
-    /// cleared.
+    /// Returns the pairs of job and machine where tasks may still run although the job was cancelled longer ago than
+    /// `grace_period`.
     pub fn overdue(&self, unix_time: u64, grace_period: Micros) -> Vec<ResidueCleared> {
         let is_overdue = |entry: &CancellationEntry| {
             unix_time > entry.committed_at.saturating_add(grace_period.0)
@@ -254,8 +260,8 @@
         residue.collect()
     }
 
-    /// Forgets what is older than `retention`.
-    pub fn forget(&mut self, unix_time: u64, retention: Micros) {
+    /// Removes cancellations and findings older than `retention`.
+    pub fn remove_expired(&mut self, unix_time: u64, retention: Micros) {
         let is_expired = |at: u64| unix_time > at.saturating_add(retention.0);
         let entries = self.entries.iter();
         let expired = entries.filter(|(_, entry)| is_expired(entry.committed_at));
@@ -273,7 +279,7 @@
     }
 }
 
-/// The jobs whose tasks a heartbeat shows, other than as exited.
+/// Returns the names of the jobs that have active tasks (any state but exited) in a heartbeat.
 fn active_jobs(heartbeat: &Heartbeat) -> BTreeSet<&str> {
     let active = heartbeat
         .tasks
--- a/src/cancellation/service.rs
+++ b/src/cancellation/service.rs
@@ -1,4 +1,4 @@
-//! Telling the other controllers of cancellations, and terminating machines that can't be told.
+//! Notifies the other controllers of cancellations, and terminates machines whose cancelled tasks can't be stopped.
 
 use super::Cancellations;
 use crate::clock::{Clock, sleep};
@@ -16,22 +16,23 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
 
-/// How long a user waits for the other controllers to be told.
+/// Maximum time that a user's request waits for the other controllers to acknowledge a cancellation.
 const ACKNOWLEDGE_TIMEOUT: Micros = Micros::millis(500);
-/// How long the cloud may take to show that it answers.
+/// Timeout of the request that checks whether the cloud is available.
 const CLOUD_PROBE_TIMEOUT: Micros = Micros::millis(900);
-/// An answer of the cloud counts for so long.
+/// Time for which an answer of the cloud counts as proof that it is available.
 const CLOUD_PROBE_VALIDITY: Micros = Micros::secs(3);
-/// How often machines with cancelled tasks are looked for that are left to terminate.
+/// Interval between checks for machines that have to be terminated because of cancelled tasks.
 const RESIDUE_CHECK_INTERVAL: Micros = Micros::secs(1);
 
-/// The cancellations that this controller knows of, and what it does about them.
+/// The cancellations that this controller knows of, and the steps that enforce them.
 ///
-/// Invariants: a user is told that a job is cancelled only once [`CancellationService::confirm`] held; a cancellation that
-/// is recorded here ends its job at this controller's scheduler, if it leads, whatever its view shows.
+/// Invariants: a user is told that a job is cancelled only after [`CancellationService::confirm`] returned true; a
+/// cancellation that is recorded here ends the job in this controller's scheduler, if it leads, whether or not its view
+/// shows it.
 pub struct CancellationService {
     clock: Clock,
-    /// How long after a cancellation its tasks must be gone.
+    /// Time limit for stopping the tasks of a cancelled job.
     cancel_limit: Micros,
     store: Rc<StateCache>,
     cloud: Rc<Cloud>,
@@ -39,12 +40,13 @@
     peers: Rc<Vec<Peer>>,
     current_term: Rc<CurrentTerm>,
     registry: RefCell<Cancellations>,
-    /// When the cloud last answered a probe.
+    /// Time of the last successful availability check of the cloud.
     cloud_answered_at: Cell<Micros>,
 }
 
 impl CancellationService {
-    /// A controller that knows of no cancellation; `cancel_limit` is how long after one its tasks must be gone.
+    /// Creates the service without cancellations. `cancel_limit` is the time within which the tasks of a cancelled job
+    /// must have stopped.
     pub fn new(
         cancel_limit: Micros,
         store: Rc<StateCache>,
@@ -68,8 +70,8 @@
 
     /// Records cancellations, whether or not the view shows them yet.
     ///
-    /// Guards against tasks that outlive their cancellation because the state service stopped answering right after it
-    /// was committed, so that no watch tells the leader.
+    /// Without this, tasks could run past the time limit if the state service stops answering right after the commit,
+    /// because no watch event would reach the leader.
     pub fn record(&self, cancelled: &[Cancellation]) {
         for cancellation in cancelled {
             self.registry.borrow_mut().insert(cancellation);
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Records machines that another controller found without cancelled tasks.
+    /// Records machines that another controller found to run no more tasks of cancelled jobs.
     pub fn record_cleared(&self, cleared: &[ResidueCleared]) {
         let unix_time = self.clock.unix_time();
         self.registry
@@ -93,7 +95,7 @@
             .on_residue_cleared(cleared, unix_time);
     }
 
-    /// Takes in what a heartbeat shows of cancelled tasks on its machine.
+    /// Updates what is known of cancelled tasks on a machine from its heartbeat.
     pub fn on_heartbeat(&self, heartbeat: &Heartbeat) {
         let unix_time = self.clock.unix_time();
         self.registry
@@ -101,7 +103,7 @@
             .on_heartbeat(heartbeat, unix_time);
     }
 
-    /// Whether it is known here that a job's user cancelled it.
+    /// Returns whether the job is known to be cancelled by its user.
     pub fn is_cancelled(&self, job: &JobId) -> bool {
         let view = self.store.view.borrow();
         match view.end(job) {
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Returns the cancellations that are known, and when each was committed.
+    /// Returns the known cancelled jobs with the Unix time of each cancellation in microseconds.
     pub fn cancelled(&self) -> Vec<(JobId, u64)> {
         let registry = self.registry.borrow();
         registry
@@ -119,36 +121,41 @@
             .collect()
     }
 
-    /// Returns what a peer has not acknowledged yet, as much as one message holds.
+    /// Returns the cancellations that a peer has not acknowledged yet, up to the size limit of one message.
     pub fn unacknowledged(&self, peer: &str) -> Vec<Cancellation> {
         self.registry.borrow().unacknowledged(peer)
     }
 
-    /// Records that an incarnation of a peer knows of these.
+    /// Records that an incarnation of a peer acknowledged cancellations.
     pub fn acknowledge(&self, peer: &str, incarnation: u64, cancelled: &[Cancellation]) {
         self.registry
             .borrow_mut()
             .acknowledge(peer, incarnation, cancelled);
     }
 
-    /// Returns the place from which a reader gets what is found cleared from now on.
+    /// Returns a cursor for reading the cleared machines that are found after this call.
     pub fn cleared_cursor(&self) -> Cursor {
         self.registry.borrow().residue_cleared_cursor()
     }
 
-    /// Returns what was found cleared from a place on, as much as one message holds, and the place after it.
+    /// Returns the machines found cleared since a cursor, up to the limit of one message, and the cursor for the next
+    /// call.
     pub fn cleared_since(&self, from: Cursor) -> (Vec<ResidueCleared>, Cursor) {
         self.registry.borrow().residue_cleared_since(from)
     }
 
-    /// Returns whether a user may be told that a job, which the view shows as cancelled, is; false where that can't be kept.
+    /// Returns whether a user may be told that a job is cancelled which the view shows as cancelled. Returns false if
+    /// it is not certain that its tasks will be stopped in time.
     ///
-    /// Guards against a cancelled task that outlives its time: a worker may send its heartbeats to any controller, and one
-    /// that the state service refuses learns of the cancellation from us alone. All of them are told before the user is. For
-    /// one that does not answer, which may be down or partitioned with its workers, the machines are terminated in time by
-    /// whoever leads, or by any controller that knows; so then the cloud must answer, and another controller must know, as
-    /// this one may end and the state service not tell it again. Nothing of this is needed where no task was placed, as none
-    /// can be any more.
+    /// A worker may send its heartbeats to any controller, and a controller that the state service refuses learns of
+    /// the cancellation only from the other controllers. So all of them are notified before the user gets the answer;
+    /// otherwise a cancelled task could run past the time limit. A controller that does not acknowledge may be down, or
+    /// partitioned together with its workers. The leader, or any controller that knows of the cancellation, terminates
+    /// those machines in time. This requires that the cloud is available and that at least one other controller knows
+    /// of the cancellation: this process may end, and the state service may then not be available to read the
+    /// cancellation from.
+    ///
+    /// None of this is needed if no task was placed, as none can be placed after the cancellation.
     pub async fn confirm(&self, job: &JobId) -> bool {
         let Some(cancellation) = self.committed(job) else {
             return false;
@@ -159,19 +166,19 @@
         let cancellation = [cancellation];
         self.record(&cancellation);
         let acknowledged = self.notify_peers(&cancellation).await;
-        // What this process alone knows would be lost with it.
-        let is_kept = acknowledged == self.peers.len()
+        // If only this process knew of the cancellation, its end would lose it.
+        let is_enforceable = acknowledged == self.peers.len()
             || self.registry.borrow().is_cleared(job)
-            || acknowledged > 0 && self.cloud_answers().await;
-        if is_kept {
+            || acknowledged > 0 && self.is_cloud_available().await;
+        if is_enforceable {
             self.registry.borrow_mut().confirm(job);
         } else {
             info!("event=cancellation_unconfirmed job={job}");
         }
-        is_kept
+        is_enforceable
     }
 
-    /// The cancellation of a job as the view has it.
+    /// Returns the cancellation of a job as recorded in the view, if the job is cancelled.
     fn committed(&self, job: &JobId) -> Option<Cancellation> {
         let view = self.store.view.borrow();
         let end = view.end(job)?;
@@ -182,7 +189,7 @@
         })
     }
 
-    /// Notifies all other controllers; returns how many acknowledged.
+    /// Sends cancellations to all other controllers; returns how many acknowledged.
     async fn notify_peers(&self, cancelled: &[Cancellation]) -> usize {
         let calls = self.peers.iter().map(|peer| {
             let ping = PeerRequest::Ping {
@@ -213,32 +220,35 @@
         acknowledged
     }
 
-    /// Whether machines can be terminated: the cloud answers, or did just now.
-    async fn cloud_answers(&self) -> bool {
+    /// Returns whether the cloud is available to terminate machines: it answered within [`CLOUD_PROBE_VALIDITY`], or
+    /// answers a request that is sent here.
+    async fn is_cloud_available(&self) -> bool {
         let now = self.clock.now();
         if now.since(self.cloud_answered_at.get()) < CLOUD_PROBE_VALIDITY {
             return true;
         }
         let probe = timeout(CLOUD_PROBE_TIMEOUT, self.cloud.machine_types()).await;
-        let has_answered = matches!(probe, Some(Ok(_)));
-        if has_answered {
+        let is_available = matches!(probe, Some(Ok(_)));
+        if is_available {
             self.cloud_answered_at.set(self.clock.now());
         }
-        has_answered
+        is_available
     }
 
-    /// Terminates machines on which cancelled tasks may be left, where nobody who leads can be asked to.
+    /// Periodically terminates machines on which cancelled tasks may still run, as long as no leader can be reached to
+    /// do it.
     ///
-    /// Guards against cancellations whose leader ended, or is partitioned from all others, while the state service lets
-    /// nobody follow it.
-    pub async fn terminate_residue(&self) {
+    /// Covers cancellations whose leader has ended, or is partitioned from all other controllers, while the state
+    /// service prevents the election of a successor.
+    pub async fn terminate_overdue_machines(&self) {
         loop {
             sleep(RESIDUE_CHECK_INTERVAL).await;
             let unix_time = self.clock.unix_time();
             self.registry
                 .borrow_mut()
-                .forget(unix_time, self.cancel_limit.scaled(2, 1));
-            // A leader without a lease that reaches nobody does not act as one: another may lead by now.
+                .remove_expired(unix_time, self.cancel_limit.scaled(2, 1));
+            // A leader without a lease that reaches no other controller does not count as the leader here: another one
+            // may lead by then.
             if self.membership.leader_reachable() && !self.membership.is_isolated() {
                 continue;
             }
@@ -254,14 +264,14 @@
     async fn terminate(&self, residue: &[ResidueCleared], unix_time: u64) {
         let machines: BTreeSet<MachineId> = residue.iter().map(|r| r.machine.clone()).collect();
         let machines: Vec<MachineId> = machines.into_iter().collect();
-        for part in machines.chunks(MAX_MACHINES_PER_TERMINATION) {
-            match self.cloud.terminate(part).await {
+        for batch in machines.chunks(MAX_MACHINES_PER_TERMINATION) {
+            match self.cloud.terminate(batch).await {
                 Ok(()) => {
                     info!(
                         "event=machines_terminated count={} why=cancelled_tasks_left_without_leader",
-                        part.len()
+                        batch.len()
                     );
-                    let terminated: HashSet<&MachineId> = part.iter().collect();
+                    let terminated: HashSet<&MachineId> = batch.iter().collect();
                     let cleared = residue.iter().filter(|r| terminated.contains(&r.machine));
                     let cleared: Vec<ResidueCleared> = cleared.cloned().collect();
                     self.registry
@@ -274,17 +284,17 @@
     }
 }
 
-/// Those of these machines on which the view has tasks of the jobs, or all where there is no view.
+/// Keeps the overdue pairs that the view has placements for, or all of them if the view is not loaded.
 fn retain_recorded(view: &View, overdue: Vec<ResidueCleared>) -> Vec<ResidueCleared> {
     if !view.loaded {
         return overdue;
     }
-    let mut placed: HashMap<JobId, HashSet<MachineId>> = HashMap::new();
-    let is_placed = |residue: &ResidueCleared| {
-        let machines = placed
+    let mut machines_by_job: HashMap<JobId, HashSet<MachineId>> = HashMap::new();
+    let is_recorded = |residue: &ResidueCleared| {
+        let machines = machines_by_job
             .entry(residue.job.clone())
             .or_insert_with(|| view.machines_of(&residue.job).into_iter().collect());
         machines.contains(&residue.machine)
     };
-    overdue.into_iter().filter(is_placed).collect()
+    overdue.into_iter().filter(is_recorded).collect()
 }
--- a/src/cancellation/tests.rs
+++ b/src/cancellation/tests.rs
@@ -17,8 +17,8 @@
     }
 }
 
-/// A heartbeat of a machine that holds tasks of these jobs.
-fn report(n: usize, sequence: u64, jobs: &[&str]) -> Heartbeat {
+/// Returns a heartbeat of a machine that runs task 0 of each of these jobs.
+fn heartbeat(n: usize, sequence: u64, jobs: &[&str]) -> Heartbeat {
     let running = |job: &&str| TaskStatus {
         task: format!("{job}/0"),
         attempt: 1,
@@ -38,76 +38,92 @@
     }
 }
 
-/// Well after the cancellations, when no start can be on its way any more.
-const LATER: u64 = 60_000_000;
+/// Unix time, in microseconds, when start commands sent before the cancellations can no longer arrive.
+const AFTER_DELIVERY_TIMEOUT_US: u64 = 60_000_000;
 
-// Guards against finds beyond a message's bound that were never told, so that machines went back for nothing.
+// Guards against dropping the cleared machines that exceed one message: other controllers would then terminate machines
+// without cancelled tasks.
 #[test]
-fn what_is_found_gone_on_a_large_fleet_is_told_in_several_messages_and_once() {
+fn cleared_machines_of_large_fleet_are_reported_once_in_several_messages() {
     let machines = 2 * MAX_CLEARED_PER_MESSAGE + 10;
-    let mut c = Cancellations::default();
-    let mut told = c.residue_cleared_cursor();
-    c.insert(&cancellation(1, 0..machines));
+    let mut cancellations = Cancellations::default();
+    let mut cursor = cancellations.residue_cleared_cursor();
+    cancellations.insert(&cancellation(1, 0..machines));
     for n in 0..machines {
-        c.on_heartbeat(&report(n, 1, &[]), LATER);
-        c.on_heartbeat(&report(n, 2, &[]), LATER);
+        cancellations.on_heartbeat(&heartbeat(n, 1, &[]), AFTER_DELIVERY_TIMEOUT_US);
+        cancellations.on_heartbeat(&heartbeat(n, 2, &[]), AFTER_DELIVERY_TIMEOUT_US);
     }
-    let mut other = Cancellations::default();
-    other.insert(&cancellation(1, 0..machines));
+    let mut peer = Cancellations::default();
+    peer.insert(&cancellation(1, 0..machines));
     let mut messages = 0;
     loop {
-        let (gone, next) = c.residue_cleared_since(told);
-        if gone.is_empty() {
+        let (cleared, next) = cancellations.residue_cleared_since(cursor);
+        if cleared.is_empty() {
             break;
         }
-        assert!(gone.len() <= MAX_CLEARED_PER_MESSAGE);
-        other.on_residue_cleared(&gone, LATER);
-        told = next;
+        assert!(cleared.len() <= MAX_CLEARED_PER_MESSAGE);
+        peer.on_residue_cleared(&cleared, AFTER_DELIVERY_TIMEOUT_US);
+        cursor = next;
         messages += 1;
     }
     assert_eq!(messages, 3);
-    assert_eq!(other.overdue(LATER, Micros::secs(1)), vec![]);
+    assert_eq!(
+        peer.overdue(AFTER_DELIVERY_TIMEOUT_US, Micros::secs(1)),
+        vec![]
+    );
     assert!(
-        other.residue_by_machine.is_empty(),
-        "nothing is kept of what is gone"
+        peer.residue_by_machine.is_empty(),
+        "cleared machines are not tracked"
     );
 }
 
 #[test]
-fn a_machine_that_holds_a_cancelled_task_is_left_and_one_that_does_not_is_not() {
-    let mut c = Cancellations::default();
-    c.insert(&cancellation(1, 0..3));
-    c.insert(&cancellation(2, 1..2));
+fn only_machines_that_may_run_cancelled_tasks_are_overdue() {
+    let mut cancellations = Cancellations::default();
+    cancellations.insert(&cancellation(1, 0..3));
+    cancellations.insert(&cancellation(2, 1..2));
     for sequence in 1..=3 {
-        c.on_heartbeat(&report(0, sequence, &["j-000001"]), LATER);
-        c.on_heartbeat(&report(1, sequence, &["j-000002", "j-000003"]), LATER);
+        cancellations.on_heartbeat(
+            &heartbeat(0, sequence, &["j-000001"]),
+            AFTER_DELIVERY_TIMEOUT_US,
+        );
+        cancellations.on_heartbeat(
+            &heartbeat(1, sequence, &["j-000002", "j-000003"]),
+            AFTER_DELIVERY_TIMEOUT_US,
+        );
     }
-    let left = c.overdue(LATER, Micros::secs(1));
-    let left: Vec<(&str, &str)> = left
+    let overdue = cancellations.overdue(AFTER_DELIVERY_TIMEOUT_US, Micros::secs(1));
+    let overdue: Vec<(&str, &str)> = overdue
         .iter()
-        .map(|l| (l.job.0.as_str(), l.machine.0.as_str()))
+        .map(|residue| (residue.job.0.as_str(), residue.machine.0.as_str()))
         .collect();
     let expected = [
         ("j-000001", "m-000000"),
         ("j-000001", "m-000002"),
         ("j-000002", "m-000001"),
     ];
-    assert_eq!(left, expected, "one holds it, one was not heard");
-    c.forget(LATER * 10, Micros::secs(1));
-    assert!(c.residue_by_machine.is_empty() && !c.contains(&JobId("j-000001".into())));
+    assert_eq!(
+        overdue, expected,
+        "one machine runs the task, one sent no heartbeat"
+    );
+    cancellations.remove_expired(AFTER_DELIVERY_TIMEOUT_US * 10, Micros::secs(1));
+    assert!(
+        cancellations.residue_by_machine.is_empty()
+            && !cancellations.contains(&JobId("j-000001".into()))
+    );
 }
 
-// Guards against a message that is too long for a frame, and against one that leaves out a cancellation for ever.
+// Guards against a message that is too long for a frame, and against a cancellation that is never sent.
 #[test]
-fn cancellations_are_told_in_messages_of_bounded_size_until_all_are_told() {
-    let mut c = Cancellations::default();
+fn all_cancellations_are_sent_in_messages_of_bounded_size() {
+    let mut cancellations = Cancellations::default();
     for job in 0..300 {
-        c.insert(&cancellation(job, 0..1_000));
+        cancellations.insert(&cancellation(job, 0..1_000));
     }
-    c.insert(&cancellation(300, 0..50_000));
-    let mut told = 0;
+    cancellations.insert(&cancellation(300, 0..50_000));
+    let mut acknowledged = 0;
     loop {
-        let unacknowledged = c.unacknowledged("n-1");
+        let unacknowledged = cancellations.unacknowledged("n-1");
         if unacknowledged.is_empty() {
             break;
         }
@@ -116,8 +132,8 @@
             bytes <= MAX_CANCELLATION_BYTES || unacknowledged.len() == 1,
             "{bytes} bytes"
         );
-        told += unacknowledged.len();
-        c.acknowledge("n-1", 1, &unacknowledged);
+        acknowledged += unacknowledged.len();
+        cancellations.acknowledge("n-1", 1, &unacknowledged);
     }
-    assert_eq!(told, 301);
+    assert_eq!(acknowledged, 301);
 }
