--- a/src/cancellation/service.rs
+++ b/src/cancellation/service.rs
@@ -144,8 +144,8 @@
         self.registry.borrow().residue_cleared_since(from)
     }
 
-    /// Returns whether a user may be told that a job is cancelled which the view shows as cancelled. Returns false if
-    /// it is not certain that its tasks will be stopped in time.
+    /// Returns whether a user may be told that a job is cancelled that the view shows as cancelled. Returns false if
+    /// the controllers can't ensure that its tasks stop in time.
     ///
     /// A worker may send its heartbeats to any controller, and a controller that the state service refuses learns of
     /// the cancellation only from the other controllers. So all of them are notified before the user gets the answer;
@@ -166,7 +166,7 @@
         let cancellation = [cancellation];
         self.record(&cancellation);
         let acknowledged = self.notify_peers(&cancellation).await;
-        // If only this process knew of the cancellation, its end would lose it.
+        // If only this process knew of the cancellation, it would be lost when the process ends.
         let is_enforceable = acknowledged == self.peers.len()
             || self.registry.borrow().is_cleared(job)
             || acknowledged > 0 && self.is_cloud_available().await;
--- a/src/leader/fleet.rs
+++ b/src/leader/fleet.rs
@@ -43,7 +43,7 @@
             }
             let plan = self.plan(now);
             if self.term.scheduler.borrow_mut().check_rebuild(now)
-                && let Err(end) = self.state_loss.finish(self.term.lease(), true).await
+                && let Err(end) = self.state_loss.mark_restored(self.term.lease(), true).await
             {
                 return end;
             }
--- a/src/state_loss.rs
+++ b/src/state_loss.rs
@@ -1,10 +1,11 @@
-//! Rebuilding stored state after a loss: from the newest view that a controller has, under a lease of the state service.
+//! Rebuilds stored state after a loss, from the most recent view that a controller has, under a lease of the state
+//! service.
 //!
-//! Every controller's cached view is a replica of the stored state at one revision. When one of them finds evidence of a loss
-//! (`ravenhead_recovery::Evidence`), it keeps its view as a snapshot, tells the others by a key how new that is, and the one
-//! with the newest stands for election first. The elected leader writes what is missing, each key on condition that it is as
-//! it was read, and then leads with a scheduler that offers nothing until all machines were heard. `docs/recovery.md` has the
-//! choices behind it.
+//! Every controller's cached view is a replica of the stored state at one revision. A controller that finds evidence of
+//! a loss (`ravenhead_recovery::Evidence`) keeps its view as a snapshot and announces the snapshot's revision in a key.
+//! The controller with the most recent snapshot stands for election first. The elected leader writes the missing keys,
+//! each on condition that the key has not changed since it was read. It then leads with a scheduler that makes no
+//! offers until all machines have sent heartbeats. `docs/recovery.md` explains the design choices.
 
 mod audit;
 mod follower;
@@ -22,25 +23,27 @@
 use ravenhead_recovery::{Candidate, rank, token_base};
 use std::rc::Rc;
 
-/// How long the view may take to have all that a page has.
+/// Maximum time to wait until the view has reached the revision of a listed page or of a commit.
 const CATCH_UP_TIMEOUT: Micros = Micros::secs(1);
-/// How long controllers may take to tell what they can rebuild from.
+/// Time that controllers have to announce their snapshots before the first of them stands for election.
 const ANNOUNCEMENT_PERIOD: Micros = Micros::millis(1_500);
-/// How long each waits for those with newer views.
+/// Additional wait of a candidate for each candidate with a more recent snapshot.
 const RANK_GRACE_PERIOD: Micros = Micros::secs(4);
-/// A controller without a view waits so long for one that has any.
+/// Wait of a controller without a snapshot before it stands for election, to let one that has a snapshot go first.
 const NO_VIEW_GRACE_PERIOD: Micros = Micros::secs(15);
-/// How long a fresh controller waits for the others to tell what they know.
+/// Maximum time that a restarted controller waits for the cluster status of the others.
 const COMPARISON_TIMEOUT: Micros = Micros::secs(3);
-/// How long answers wait for controllers that have not told what they know: for less than it takes to count as forgotten.
+/// Maximum time after a loss during which answers are withheld because some controller has not announced what it knows.
+/// It is shorter than the time without an answer after which a job counts as forgotten.
 const CONTRIBUTION_TIMEOUT: Micros = Micros::secs(60);
 /// Pause before a transaction is sent again.
-const RETRY_PAUSE: Micros = Micros::millis(150);
+const RETRY_INTERVAL: Micros = Micros::millis(150);
 
-/// One controller's part in recovering from a loss of stored state.
+/// One controller's part in the recovery from a loss of stored state.
 ///
-/// Does nothing unless the operators enabled it. Invariants: a key is restored only on condition that it is as it was read,
-/// under the leader key; while [`StateLossRecovery::withholds_answers`] holds, users are told final states only.
+/// Does nothing unless it is enabled in the settings. Invariants: a key is restored only under the leader key and on
+/// condition that it has not changed since it was read; while [`StateLossRecovery::withholds_answers`] returns true,
+/// users get final states only.
 pub struct StateLossRecovery {
     clock: Clock,
     kv: Rc<KvClient>,
@@ -52,7 +55,7 @@
 }
 
 impl StateLossRecovery {
-    /// A controller that has found no loss.
+    /// Creates the recovery of a controller that has found no loss.
     pub fn new(
         platform: &Platform,
         settings: &Settings,
@@ -72,40 +75,45 @@
         }
     }
 
-    /// Whether answers are held back, as this controller may not know what was told to users: stored state was lost and is
-    /// not there again, or it began just now and has not compared what it read with what the others know.
+    /// Returns whether answers are withheld because this controller may not know what users were told before: stored
+    /// state is lost or not fully rebuilt, or this process started a moment ago and has not compared what it read with
+    /// what the other controllers know.
     pub fn withholds_answers(&self) -> bool {
         if !self.is_enabled {
             return false;
         }
-        let lost = self.store.is_rebuilding() || self.kv.has_evidence();
-        lost || !self.has_compared_with_peers() || self.awaits_peer_contributions()
+        let is_lost_or_rebuilding = self.store.is_rebuilding() || self.kv.has_evidence();
+        is_lost_or_rebuilding || !self.has_compared_with_peers() || self.awaits_peer_contributions()
     }
 
-    /// Whether another controller may know of jobs, or ends that users were told, which the rebuild lacks.
+    /// Returns whether another controller may know of jobs, or of job ends that were reported to users, that the
+    /// rebuilt state lacks.
     ///
-    /// Guards against an answer older than one that a controller gave which alone still heard of changes before the loss.
+    /// Without this check, an answer could be older than one from a controller that alone received the last changes
+    /// before the loss.
     fn awaits_peer_contributions(&self) -> bool {
         let view = self.store.view.borrow();
         let Some(loss) = &view.loss else {
             return false;
         };
         let age = self.clock.unix_time().saturating_sub(loss.value.at);
-        let mut all = self.membership.all_nodes();
+        let mut nodes = self.membership.all_nodes();
         let has_contributed = |node: &String| {
             let candidate = view.candidates.get(node);
             candidate.is_some_and(|c| !c.lost && c.losses >= loss.value.number)
         };
-        age < CONTRIBUTION_TIMEOUT.0 && !all.all(has_contributed)
+        age < CONTRIBUTION_TIMEOUT.0 && !nodes.all(has_contributed)
     }
 
-    /// Whether the others told what they know since this process began, or did not for a while.
+    /// Returns whether all other controllers have sent their cluster status since this process started, or
+    /// [`COMPARISON_TIMEOUT`] has passed.
     fn has_compared_with_peers(&self) -> bool {
         let uptime = self.membership.uptime();
         uptime >= COMPARISON_TIMEOUT || self.membership.has_heard_all_peers()
     }
 
-    /// Whether this controller may stand for election: after a loss those with the newest views go first.
+    /// Returns whether this controller may stand for election. After a loss, controllers with more recent snapshots go
+    /// first.
     pub fn is_eligible(&self) -> bool {
         if !self.is_enabled {
             return true;
@@ -115,14 +123,14 @@
         }
         let loss = self.store.loss.borrow();
         let Some(loss) = &*loss else {
-            // Without a view of its own it leaves an unfinished rebuild to those that have one.
-            let unfinished = self.store.view.borrow().has_unfinished_rebuild();
+            // A controller without a snapshot leaves an unfinished rebuild to those that have one.
+            let has_unfinished_rebuild = self.store.view.borrow().has_unfinished_rebuild();
             let uptime = self.membership.uptime();
-            return !unfinished || uptime >= NO_VIEW_GRACE_PERIOD;
+            return !has_unfinished_rebuild || uptime >= NO_VIEW_GRACE_PERIOD;
         };
-        let waited = self.clock.now().since(loss.found_at);
+        let elapsed = self.clock.now().since(loss.found_at);
         if loss.snapshot.is_none() {
-            return waited >= NO_VIEW_GRACE_PERIOD;
+            return elapsed >= NO_VIEW_GRACE_PERIOD;
         }
         let own = Candidate {
             losses: loss.losses(),
@@ -130,19 +138,20 @@
             node: self.membership.node().to_owned(),
         };
         let view = self.store.view.borrow();
-        let all = view.candidates.iter().map(|(node, c)| Candidate {
+        let candidates = view.candidates.iter().map(|(node, c)| Candidate {
             losses: c.losses,
             revision: c.revision.0,
             node: node.clone(),
         });
-        let all: Vec<Candidate> = all.collect();
-        let place = rank(&own, &all);
-        place.is_some_and(|place| {
-            waited >= ANNOUNCEMENT_PERIOD + RANK_GRACE_PERIOD.scaled(place as u64, 1)
+        let candidates: Vec<Candidate> = candidates.collect();
+        let own_rank = rank(&own, &candidates);
+        own_rank.is_some_and(|own_rank| {
+            elapsed >= ANNOUNCEMENT_PERIOD + RANK_GRACE_PERIOD.scaled(own_rank as u64, 1)
         })
     }
 
-    /// Returns the record of the loss that is to be rebuilt, if there is one, as the next leader writes it with its election.
+    /// Returns the record of the loss that has to be rebuilt, if any. The next leader writes it together with its
+    /// election.
     pub fn loss_to_rebuild(&self) -> Option<LossRecord> {
         if !self.store.is_rebuilding() {
             return None;
@@ -157,34 +166,37 @@
         if is_first_start {
             return None;
         }
-        let resumed = recorded.filter(|l| !l.restored);
-        let losses_before = recorded
+        let unfinished_loss = recorded.filter(|l| !l.restored);
+        let earlier_losses = recorded
             .map_or(0, |l| l.number)
             .max(snapshot.map_or(0, View::losses));
         let unix_time = self.clock.unix_time();
         Some(LossRecord {
-            number: resumed.map_or(losses_before + 1, |l| l.number),
+            number: unfinished_loss.map_or(earlier_losses + 1, |l| l.number),
             base: next_token_base(recorded, &view, highest_token, unix_time),
-            at: resumed.map_or(unix_time, |l| l.at),
+            at: unfinished_loss.map_or(unix_time, |l| l.at),
             restored: false,
             confirmed: false,
         })
     }
 
-    /// The highest fencing token that any controller knows of.
+    /// Returns the highest fencing token that is known: from the cluster status, the snapshot and the announcements of
+    /// all controllers.
     fn highest_known_token(&self, view: &View, snapshot: Option<&View>) -> FencingToken {
-        let announced = view.candidates.values().map(|c| c.token).max();
+        let highest_announced = view.candidates.values().map(|c| c.token).max();
         self.membership
             .cluster_status()
             .token
             .max(snapshot.map_or(FencingToken::NONE, View::highest_token))
-            .max(announced.unwrap_or_default())
+            .max(highest_announced.unwrap_or_default())
     }
 }
 
-/// What is added to revisions from now on, so that tokens stay above all that were given before.
+/// Returns the number that is added to a revision to make a fencing token, so that new tokens are above all earlier
+/// ones.
 ///
-/// Guards against revisions that went back and no longer make tokens above those that workers have seen.
+/// After a loss, revisions may restart at lower values. Without a new base, tokens made from them would not exceed
+/// those that workers have already received.
 fn next_token_base(
     recorded: Option<&LossRecord>,
     view: &View,
--- a/src/state_loss/audit.rs
+++ b/src/state_loss/audit.rs
@@ -1,4 +1,5 @@
-//! Looking for evidence of a loss: keys that differ from the view, and tokens that can't have been given.
+//! Searches for evidence of a loss: keys that differ from the view, and fencing tokens that the state service can't
+//! have issued.
 
 use super::{CATCH_UP_TIMEOUT, StateLossRecovery};
 use crate::fencing::FencingToken;
@@ -7,26 +8,27 @@
 use crate::store::{KeyKind, LossRecord, StoreKey, View, decode};
 use ravenhead_recovery::{Evidence, Finding, KeyVersion, audit};
 
-/// Keys that are compared with the view, in turn.
-const AUDITED: [KeyKind; 3] = [KeyKind::Job, KeyKind::JobEnd, KeyKind::Chunk];
+/// Kinds of keys that are compared with the view, in this order.
+const AUDITED_KINDS: [KeyKind; 3] = [KeyKind::Job, KeyKind::JobEnd, KeyKind::Chunk];
 
-/// Where the comparison of keys goes on.
+/// Position at which the comparison of keys continues.
 #[derive(Debug, Clone, Default)]
-pub(super) struct AuditPlace {
-    /// The index in [`AUDITED`].
+pub(super) struct AuditPosition {
+    /// Index into [`AUDITED_KINDS`].
     kind: usize,
     from: String,
 }
 
 impl StateLossRecovery {
-    /// Looks whether anybody knows a token that the state service could not have given.
+    /// Checks whether any controller knows a fencing token that the state service can't have issued.
     pub(super) async fn audit_tokens(&self) {
         let token = self.membership.cluster_status().token;
-        let ahead = |view: &View| view.loaded && token > view.token(view.revision);
-        if !ahead(&self.store.view.borrow()) {
+        let is_ahead = |view: &View| view.loaded && token > view.token(view.revision);
+        if !is_ahead(&self.store.view.borrow()) {
             return;
         }
-        // The view may lag: what is there now counts, and the base of tokens was written with the token's election.
+        // The view may lag, so the current state is read. The base of the tokens was written together with the election
+        // that the token comes from.
         let found = self.kv.get(Urgency::Now, &StoreKey::Loss.to_string()).await;
         let (base, revision) = match found {
             Ok(Lookup::Found(item)) => {
@@ -51,41 +53,42 @@
         }
     }
 
-    /// Compares one page of the keys with the view, and says where to go on.
-    pub(super) async fn audit_page(&self, place: AuditPlace) -> AuditPlace {
-        let kind = AUDITED[place.kind];
-        let losses = self.store.losses_found();
-        let Ok(page) = self.kv.list(kind.prefix(), &place.from).await else {
-            return place;
+    /// Compares one page of the keys with the view; returns the position of the next page.
+    pub(super) async fn audit_page(&self, position: AuditPosition) -> AuditPosition {
+        let kind = AUDITED_KINDS[position.kind];
+        let losses_before = self.store.losses_found();
+        let Ok(page) = self.kv.list(kind.prefix(), &position.from).await else {
+            return position;
         };
-        // A view that was begun anew meanwhile says nothing of a page from before.
+        // A view that was reloaded in the meantime can't be compared with a page read before.
         if !self
             .store
             .wait_for_revision(page.revision, CATCH_UP_TIMEOUT)
             .await
-            || self.store.losses_found() != losses
+            || self.store.losses_found() != losses_before
         {
-            return place;
+            return position;
         }
         let last = page.items.last().map(|item| item.key.clone());
         let end = last.filter(|_| page.more);
-        match self.compare(kind, &place.from, end.as_deref(), &page) {
+        match self.compare(kind, &position.from, end.as_deref(), &page) {
             Finding::Same => {}
             Finding::Lost(evidence) => self.kv.report_loss(evidence),
             Finding::Unseen { key, version } => {
-                self.check_unseen(kind, key, Revision(version)).await;
+                self.check_unseen_key(kind, key, Revision(version)).await;
             }
         }
         match end {
-            Some(from) => AuditPlace { from, ..place },
-            None => AuditPlace {
-                kind: (place.kind + 1) % AUDITED.len(),
+            Some(from) => AuditPosition { from, ..position },
+            None => AuditPosition {
+                kind: (position.kind + 1) % AUDITED_KINDS.len(),
                 from: String::new(),
             },
         }
     }
 
-    /// Compares a page of the keys of a kind, from one key to another, with the view.
+    /// Compares a page of the keys of a kind with the view. The page covers the keys after `from` up to `end`, or all
+    /// further keys if `end` is `None`.
     fn compare(&self, kind: KeyKind, from: &str, end: Option<&str>, page: &Page) -> Finding {
         let known = self.store.view.borrow().versions(kind);
         let is_in_page = |key: &str| key > from && end.is_none_or(|end| key <= end);
@@ -101,14 +104,15 @@
         audit(known, listed, page.revision.0)
     }
 
-    /// A key was listed that the view did not have: whether it is still there, and the view still lacks it.
-    async fn check_unseen(&self, kind: KeyKind, key: String, version: Revision) {
+    /// Reports a loss if a key that was listed but missing in the view is still stored at the same version and still
+    /// missing in the view.
+    async fn check_unseen_key(&self, kind: KeyKind, key: String, version: Revision) {
         let Ok(Lookup::Found(item)) = self.kv.get(Urgency::Paced, &key).await else {
             return;
         };
         let view = self.store.view.borrow();
-        let is_seen = view.versions(kind).iter().any(|(k, _)| *k == key);
-        if item.version == version && !is_seen {
+        let is_in_view = view.versions(kind).iter().any(|(k, _)| *k == key);
+        if item.version == version && !is_in_view {
             self.kv.report_loss(Evidence::RecordUnseen {
                 key,
                 version: version.0,
@@ -118,7 +122,7 @@
 }
 
 impl View {
-    /// Returns the keys of a kind, in order, with the revisions of their last changes.
+    /// Returns the keys of a kind in order, with the revisions of their last changes.
     fn versions(&self, kind: KeyKind) -> Vec<(String, Revision)> {
         let mut versions: Vec<(String, Revision)> = match kind {
             KeyKind::Job => {
--- a/src/state_loss/follower.rs
+++ b/src/state_loss/follower.rs
@@ -1,8 +1,9 @@
-//! What a controller does about losses while it does not lead: finding them, announcing its view, adding what only it knows.
+//! The part of the recovery that does not require leadership: finds losses, announces this controller's snapshot, and
+//! contributes records that only this controller knows.
 
-use super::audit::AuditPlace;
-use super::plan::unknown_to;
-use super::{RETRY_PAUSE, StateLossRecovery};
+use super::audit::AuditPosition;
+use super::plan::missing_from;
+use super::{RETRY_INTERVAL, StateLossRecovery};
 use crate::clock::sleep;
 use crate::fencing::FencingToken;
 use crate::kv::{Change, KvError, Outcome, Urgency};
@@ -11,21 +12,21 @@
 use log::info;
 use ravenhead_recovery::Evidence;
 
-/// How often it is checked what there is to do.
+/// Interval between checks of what has to be done.
 const CHECK_INTERVAL: Micros = Micros::millis(250);
-/// How often a page of the keys is compared with the view.
+/// Interval between comparisons of a page of the keys with the view.
 const AUDIT_INTERVAL: Micros = Micros::secs(2);
 
 impl StateLossRecovery {
-    /// Looks for losses of stored state for ever, and does what a controller that does not lead does after one.
+    /// Continuously searches for losses of stored state, and after one takes the steps that do not require leadership.
     pub async fn run(&self) {
-        let mut page = AuditPlace::default();
+        let mut audit_position = AuditPosition::default();
         let mut audited_at = self.clock.now();
         let mut announced_losses = 0;
         loop {
             sleep(CHECK_INTERVAL).await;
-            let lost = self.store.loss.borrow().is_some();
-            if lost {
+            let has_found_loss = self.store.loss.borrow().is_some();
+            if has_found_loss {
                 if announced_losses != self.store.losses_found() && self.announce_candidate().await
                 {
                     announced_losses = self.store.losses_found();
@@ -33,8 +34,8 @@
                 self.contribute().await;
                 continue;
             }
-            let claim = self.store.view.borrow().peer_claiming_loss().cloned();
-            if let Some(by) = claim {
+            let claimant = self.store.view.borrow().peer_claiming_loss().cloned();
+            if let Some(by) = claimant {
                 self.kv.report_loss(Evidence::Claimed { by });
                 continue;
             }
@@ -43,12 +44,12 @@
             let now = self.clock.now();
             if now.since(audited_at) >= AUDIT_INTERVAL && self.store.view.borrow().loaded {
                 audited_at = now;
-                page = self.audit_page(page).await;
+                audit_position = self.audit_page(audit_position).await;
             }
         }
     }
 
-    /// Tells the others what this controller can rebuild from; whether that was written.
+    /// Announces to the other controllers what this one can rebuild from; returns whether the announcement was written.
     async fn announce_candidate(&self) -> bool {
         let record = {
             let loss = self.store.loss.borrow();
@@ -71,16 +72,16 @@
     async fn put_candidate(&self, record: &CandidateRecord) -> bool {
         let node = self.membership.node().to_owned();
         let put = StoreKey::RebuildCandidate(node).put(record);
-        let written = self.kv.txn(Urgency::Now, &[], &[put]).await;
-        matches!(written, Ok(Outcome::Applied(_)))
+        let outcome = self.kv.txn(Urgency::Now, &[], &[put]).await;
+        matches!(outcome, Ok(Outcome::Applied(_)))
     }
 
-    /// Tells the others, after a loss, that this controller knows nothing that the rebuilt state lacks.
+    /// Announces, after a loss, that this controller knows nothing that the rebuilt state lacks.
     async fn announce_all_contributed(&self) {
         let record = {
             let view = self.store.view.borrow();
-            let own = view.candidates.get(self.membership.node());
-            let announced = own.filter(|c| !c.lost).map_or(0, |c| c.losses);
+            let own_record = view.candidates.get(self.membership.node());
+            let announced = own_record.filter(|c| !c.lost).map_or(0, |c| c.losses);
             if announced >= view.losses() || view.has_unfinished_rebuild() {
                 return;
             }
@@ -94,7 +95,8 @@
         self.put_candidate(&record).await;
     }
 
-    /// Once another controller has rebuilt, adds what only this one knows: jobs that were accepted and ends that were told.
+    /// After another controller has rebuilt the state, contributes what only this one knows: accepted jobs, and job
+    /// ends that may have been reported to users.
     async fn contribute(&self) {
         let changes = {
             let view = self.store.view.borrow();
@@ -105,19 +107,19 @@
                 return;
             }
             let snapshot = loss.snapshot.as_ref();
-            snapshot.map_or(Vec::new(), |snapshot| unknown_to(&view, snapshot))
+            snapshot.map_or(Vec::new(), |snapshot| missing_from(&view, snapshot))
         };
         for (id, key, value) in changes {
-            // An end is written once for ever, a submission only of a job that nobody knows.
-            let mut when = vec![StoreKey::JobEnd(id.clone()).is_absent()];
+            // A job end is written only once. A submission is written only if neither the job nor its end exists.
+            let mut conditions = vec![StoreKey::JobEnd(id.clone()).is_absent()];
             if matches!(key, StoreKey::Job(_)) {
-                when.push(key.is_absent());
+                conditions.push(key.is_absent());
             }
             let put = Change::put(key.to_string(), value);
             loop {
                 match self
                     .kv
-                    .txn(Urgency::Paced, &when, std::slice::from_ref(&put))
+                    .txn(Urgency::Paced, &conditions, std::slice::from_ref(&put))
                     .await
                 {
                     Ok(Outcome::Applied(_)) => {
@@ -125,7 +127,7 @@
                         break;
                     }
                     Ok(Outcome::Conflict(_)) | Err(KvError::Malformed(_)) => break,
-                    Err(_) => sleep(RETRY_PAUSE).await,
+                    Err(_) => sleep(RETRY_INTERVAL).await,
                 }
             }
         }
--- a/src/state_loss/plan.rs
+++ b/src/state_loss/plan.rs
@@ -1,4 +1,4 @@
-//! What has to be written to rebuild: what a snapshot has and the stored state lacks.
+//! Determines the records to write in a rebuild: those that a snapshot has and the stored state lacks.
 
 use super::StateLossRecovery;
 use crate::revision::Revision;
@@ -9,11 +9,12 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Bytes of an archived end, with room to spare.
-const ARCHIVED_BYTES: usize = 160;
+/// Upper estimate of the stored size of an archived job end, in bytes.
+const ARCHIVED_END_BYTES: usize = 160;
 
 impl StateLossRecovery {
-    /// What is missing, as far as this controller's snapshot tells.
+    /// Returns the records that the stored state lacks, compared with this controller's snapshot and the cancellations
+    /// it knows.
     pub(super) fn plan(&self, number: u64) -> Vec<Restore<Value>> {
         let loss = self.store.loss.borrow();
         let Some(snapshot) = loss.as_ref().and_then(|l| l.snapshot.as_ref()) else {
@@ -32,55 +33,57 @@
         let mut ends: BTreeMap<&JobId, JobEnd> = cancelled.collect();
         ends.extend(snapshot.ends.iter().map(|(id, end)| (id, end.value)));
         ends.retain(|id, _| !view.ends.contains_key(*id));
-        // Ends of jobs whose records are there are keys of their own, as writes are conditional on them.
-        let (of_records, archived): (Vec<_>, Vec<_>) = ends
+        // Ends of jobs that still have records get keys of their own, because other writes are conditional on those
+        // keys.
+        let (ends_of_recorded_jobs, archived): (Vec<_>, Vec<_>) = ends
             .into_iter()
             .partition(|(id, _)| snapshot.jobs.contains_key(*id) || view.jobs.contains_key(*id));
-        // Only ends that are not there are among these: whatever their version, there is nothing that they could replace.
-        let mut records: Vec<(String, Stored<Value>)> = of_records
+        // These are only ends that are not stored, so their version does not matter: there is nothing they could
+        // replace.
+        let mut records: Vec<(String, Stored<Value>)> = ends_of_recorded_jobs
             .iter()
             .map(|(id, end)| new_record(&StoreKey::JobEnd((*id).clone()), end))
             .collect();
-        records.extend(self.archives(number, &archived, &view));
-        records.extend(snapshot.records(&view));
-        missing(records, &view.present())
+        records.extend(self.archive_records(number, &archived, &view));
+        records.extend(snapshot.records_to_restore(&view));
+        missing(records, &view.job_and_chunk_records())
     }
 
-    /// Ends in as few values as they fit into.
-    fn archives(
+    /// Returns records that archive job ends in as few values as the size limit allows.
+    fn archive_records(
         &self,
         number: u64,
         ends: &[(&JobId, JobEnd)],
         view: &View,
     ) -> Vec<(String, Stored<Value>)> {
         let value_bytes = self.limits.value_kb * 1024.0;
-        let most = (value_bytes as usize / ARCHIVED_BYTES).max(1);
-        // A rebuild that was cut off may have written some of this loss already.
-        let first = view.archives;
-        let parts = ends.chunks(most).enumerate();
+        let max_ends_per_value = (value_bytes as usize / ARCHIVED_END_BYTES).max(1);
+        // An interrupted rebuild may have written some archives of this loss already.
+        let first_part = view.archives;
+        let parts = ends.chunks(max_ends_per_value).enumerate();
         parts
-            .map(|(part, some)| {
-                let some = some.iter().map(|(job, end)| ArchivedEnd {
+            .map(|(part, batch)| {
+                let archived = batch.iter().map(|(job, end)| ArchivedEnd {
                     job: (*job).clone(),
                     end: *end,
                 });
-                let some: Vec<ArchivedEnd> = some.collect();
+                let archived: Vec<ArchivedEnd> = archived.collect();
                 let key = StoreKey::EndArchive {
                     loss: number,
-                    part: first + part,
+                    part: first_part + part,
                 };
-                new_record(&key, &some)
+                new_record(&key, &archived)
             })
             .collect()
     }
 }
 
-/// A key that is written only where there is none: its version replaces nothing.
+/// Returns a record that is written only if its key does not exist. Its version replaces nothing.
 fn new_record(key: &StoreKey, record: &impl Serialize) -> (String, Stored<Value>) {
     stored_record(key, record, Revision(1))
 }
 
-/// A key as it is stored.
+/// Returns a key with its value and version as stored.
 fn stored_record(
     key: &StoreKey,
     record: &impl Serialize,
@@ -96,51 +99,59 @@
     )
 }
 
-/// Keys in batches that a transaction holds.
-pub(super) fn batches(plan: &[Restore<Value>], ops: usize, bytes: usize) -> Vec<&[Restore<Value>]> {
+/// Splits the records to write into batches that fit into one transaction.
+pub(super) fn split_into_batches(
+    plan: &[Restore<Value>],
+    max_ops: usize,
+    max_bytes: usize,
+) -> Vec<&[Restore<Value>]> {
     let mut batches = Vec::new();
     let mut first = 0;
     let mut size = 0;
     for (i, restore) in plan.iter().enumerate() {
-        let value = restore.value.to_string().len() + 2 * restore.key.len();
-        if i > first && (i - first >= ops || size + value > bytes) {
+        let restore_bytes = restore.value.to_string().len() + 2 * restore.key.len();
+        if i > first && (i - first >= max_ops || size + restore_bytes > max_bytes) {
             batches.push(&plan[first..i]);
             first = i;
             size = 0;
         }
-        size += value;
+        size += restore_bytes;
     }
     batches.push(&plan[first..]);
     batches
 }
 
-/// What a snapshot has and the view lacks: ends of jobs, and jobs that are not ended.
-pub(super) fn unknown_to(view: &View, snapshot: &View) -> Vec<(JobId, StoreKey, Value)> {
+/// Returns the job ends, and the jobs that have not ended, that the snapshot has and the view lacks.
+pub(super) fn missing_from(view: &View, snapshot: &View) -> Vec<(JobId, StoreKey, Value)> {
     let ended = snapshot
         .ends
         .iter()
         .filter(|(id, _)| !view.ends.contains_key(*id));
     let ended =
         ended.map(|(id, end)| (id.clone(), StoreKey::JobEnd(id.clone()), encode(&end.value)));
-    let open = snapshot
+    let unfinished = snapshot
         .jobs
         .iter()
         .filter(|(id, _)| !view.knows(id) && !snapshot.ends.contains_key(*id));
-    let open = open.map(|(id, job)| (id.clone(), StoreKey::Job(id.clone()), encode(&job.value)));
-    ended.chain(open).collect()
+    let unfinished =
+        unfinished.map(|(id, job)| (id.clone(), StoreKey::Job(id.clone()), encode(&job.value)));
+    ended.chain(unfinished).collect()
 }
 
 impl View {
-    /// What a loss must not take away, ends aside: jobs and their runs, and machine types and provisioning requests that `now` lacks.
-    fn records(&self, now: &View) -> Vec<(String, Stored<Value>)> {
-        let mut records: Vec<(String, Stored<Value>)> = self.present().into_iter().collect();
+    /// Returns the records that have to survive a loss, apart from job ends: jobs and their chunks, and the machine
+    /// types and provisioning requests that `current` lacks.
+    fn records_to_restore(&self, current: &View) -> Vec<(String, Stored<Value>)> {
+        let mut records: Vec<(String, Stored<Value>)> =
+            self.job_and_chunk_records().into_iter().collect();
         if let Some(types) = &self.machine_types
-            && now.machine_types.is_none()
+            && current.machine_types.is_none()
         {
             records.push(new_record(&StoreKey::MachineTypes, &types.value));
         }
         let provisioning = self.provisioning.iter();
-        let provisioning = provisioning.filter(|(name, _)| !now.provisioning.contains_key(*name));
+        let provisioning =
+            provisioning.filter(|(name, _)| !current.provisioning.contains_key(*name));
         records.extend(
             provisioning
                 .map(|(name, record)| new_record(&StoreKey::Provisioning(name.clone()), record)),
@@ -148,8 +159,8 @@
         records
     }
 
-    /// What is stored of jobs and their runs.
-    fn present(&self) -> BTreeMap<String, Stored<Value>> {
+    /// Returns the records of jobs and their chunks.
+    fn job_and_chunk_records(&self) -> BTreeMap<String, Stored<Value>> {
         let jobs = self.jobs.iter().map(|(id, job)| {
             let key = StoreKey::Job(id.clone());
             stored_record(&key, &job.value, job.version)
--- a/src/state_loss/restore.rs
+++ b/src/state_loss/restore.rs
@@ -1,7 +1,8 @@
-//! What the elected leader does after a loss: writing what is missing, and marking the loss as dealt with.
+//! The part of the recovery that the elected leader performs: writes the missing records and updates the record of the
+//! loss.
 
-use super::plan::batches;
-use super::{CATCH_UP_TIMEOUT, RETRY_PAUSE, StateLossRecovery};
+use super::plan::split_into_batches;
+use super::{CATCH_UP_TIMEOUT, RETRY_INTERVAL, StateLossRecovery};
 use crate::clock::sleep;
 use crate::kv::{Change, Condition, MAX_BATCH_BYTES, Outcome, Urgency};
 use crate::revision::Revision;
@@ -12,7 +13,11 @@
 use serde_json::Value;
 
 impl StateLossRecovery {
-    /// Writes what was lost, as the elected leader; an error says why the term has ended. Does nothing where nothing was lost.
+    /// Writes the lost records, as the elected leader. Does nothing if no loss has to be rebuilt.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the leader term has ended.
     pub async fn restore(&self, lease: &LeaderLease) -> Result<(), TermEnd> {
         let number = {
             let view = self.store.view.borrow();
@@ -31,22 +36,26 @@
             if plan.is_empty() {
                 break;
             }
-            for batch in batches(&plan, limits.txn_ops, MAX_BATCH_BYTES) {
+            for batch in split_into_batches(&plan, limits.txn_ops, MAX_BATCH_BYTES) {
                 written += batch.len();
                 if !self.write(lease, batch).await? {
                     break;
                 }
             }
         }
-        self.finish(lease, false).await?;
+        self.mark_restored(lease, false).await?;
         *self.store.loss.borrow_mut() = None;
         let took = self.clock.now().since(started_at);
         info!("event=state_restored loss={number} keys={written} after={took}");
         Ok(())
     }
 
-    /// Marks the last loss as rebuilt, or as confirmed by every machine.
-    pub async fn finish(&self, lease: &LeaderLease, confirmed: bool) -> Result<(), TermEnd> {
+    /// Marks the last loss as restored and, if `confirmed` is set, as confirmed by every machine.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the leader term has ended.
+    pub async fn mark_restored(&self, lease: &LeaderLease, confirmed: bool) -> Result<(), TermEnd> {
         loop {
             let found = self.store.view.borrow().loss.clone();
             let Some(found) = found else { return Ok(()) };
@@ -55,31 +64,40 @@
                 confirmed,
                 ..found.value
             };
-            let done = [Restore {
+            let marked = [Restore {
                 key: StoreKey::Loss.to_string(),
                 value: encode(&record),
                 replaces: found.version.0,
             }];
-            if self.write(lease, &done).await? {
+            if self.write(lease, &marked).await? {
                 return Ok(());
             }
         }
     }
 
-    /// Writes keys under the leader key; false where one of them is not as it was read, so that the plan must be made anew.
-    async fn write(&self, lease: &LeaderLease, keys: &[Restore<Value>]) -> Result<bool, TermEnd> {
+    /// Writes records on condition that the leader key is unchanged. Returns false if one of the keys has changed since
+    /// it was read, so that the plan has to be made again.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the leader term has ended.
+    async fn write(
+        &self,
+        lease: &LeaderLease,
+        records: &[Restore<Value>],
+    ) -> Result<bool, TermEnd> {
         let leader = StoreKey::Leader.has_version(lease.revision);
-        let conditions = keys.iter().map(|restore| Condition {
+        let key_conditions = records.iter().map(|restore| Condition {
             key: restore.key.clone(),
             version: Revision(restore.replaces),
         });
-        let when: Vec<Condition> = conditions.chain([leader]).collect();
-        let puts = keys
+        let conditions: Vec<Condition> = key_conditions.chain([leader]).collect();
+        let puts = records
             .iter()
             .map(|restore| Change::put(restore.key.clone(), restore.value.clone()));
         let puts: Vec<Change> = puts.collect();
         loop {
-            match self.kv.txn(Urgency::Paced, &when, &puts).await {
+            match self.kv.txn(Urgency::Paced, &conditions, &puts).await {
                 Ok(Outcome::Applied(revision)) => {
                     self.store.mark_reachable();
                     if !self
@@ -104,7 +122,7 @@
             if self.store.losses_found() != lease.losses_found {
                 return Err(TermEnd::StateLost);
             }
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_INTERVAL).await;
         }
     }
 }
