--- a/src/cancellation.rs
+++ b/src/cancellation.rs
@@ -55,8 +55,8 @@
     /// Time of the cancellation's commit, as Unix time in microseconds.
     committed_at: u64,
     machines: BTreeMap<MachineId, Residue>,
-    /// Whether the cancellation may be reported to users: all controllers know of it, or machines that they can't stop
-    /// the tasks on will be terminated.
+    /// Whether the cancellation may be reported to users: all controllers know of it, or the machines whose tasks they
+    /// can't stop will be terminated.
     confirmed: bool,
 }
 
@@ -218,7 +218,8 @@
         }
     }
 
-    /// Records machines that run no more tasks of cancelled jobs, as found elsewhere.
+    /// Records machines that run no more tasks of cancelled jobs, as another controller reports them or because they
+    /// were terminated.
     pub fn on_residue_cleared(&mut self, cleared: &[ResidueCleared], unix_time: u64) {
         for cleared in cleared {
             let entry = self.entries.get_mut(&cleared.job);
--- a/src/contacts.rs
+++ b/src/contacts.rs
@@ -95,10 +95,10 @@
     /// Returns the controller to which a worker should be redirected whose heartbeat can't be forwarded, or `None` if
     /// it must stay.
     ///
-    /// If the target does not respond to the worker either, the worker comes back here, and its lease must last until
-    /// then. So a worker is redirected only after a heartbeat of it was answered here a moment ago, only to a
-    /// controller that precedes this one in the order of names by no more positions than its lease allows attempts, and
-    /// not again until twice its lease has passed.
+    /// If the target does not respond, the worker comes back here, and its lease must last until then. So a worker is
+    /// redirected only after a heartbeat of it was answered here a moment ago, and not again until twice its lease has
+    /// passed. An isolated controller redirects only to a controller that precedes it in the order of names by no more
+    /// positions than the lease allows attempts.
     pub fn redirect_target(&self, machine: &MachineId, zone: &str) -> Option<String> {
         let now = self.clock.now();
         let unforwarded = self.unforwarded.borrow();
@@ -161,7 +161,8 @@
             .iter()
             .filter(|m| m.zone == self.membership.zone())
             .peekable();
-        // Without another controller in this zone, nothing shows which kind of partition it is.
+        // A single unreachable controller may just have ended, so all others of this zone must be unreachable, and
+        // there must be at least one.
         let zone_peers_unreachable = zone_peers.peek().is_some()
             && !zone_peers.any(|m| self.membership.is_peer_reachable(&m.node));
         (leader_member.zone == zone || zone_peers_unreachable).then_some(leader)
@@ -206,7 +207,7 @@
         let mut values: Vec<Vec<&MachineId>> = Vec::new();
         let mut remaining_bytes = 0;
         for machine in machines {
-            // The name in quotes, and a comma.
+            // Each name is stored in quotes and followed by a comma.
             let bytes = machine.0.len() + 3;
             match values.last_mut() {
                 Some(value) if bytes <= remaining_bytes => value.push(machine),
--- a/src/state_loss.rs
+++ b/src/state_loss.rs
@@ -31,7 +31,7 @@
 const RANK_GRACE_PERIOD: Micros = Micros::secs(4);
 /// Wait of a controller without a snapshot before it stands for election, to let one that has a snapshot go first.
 const NO_VIEW_GRACE_PERIOD: Micros = Micros::secs(15);
-/// Maximum time that a restarted controller waits for the cluster status of the others.
+/// Maximum time that a controller which has just started waits for the cluster status of the others.
 const COMPARISON_TIMEOUT: Micros = Micros::secs(3);
 /// Maximum time after a loss during which answers are withheld because some controller has not announced what it knows.
 /// It is shorter than the time without an answer after which a job counts as forgotten.
