--- a/src/state_loss.rs
+++ b/src/state_loss.rs
@@ -133,8 +133,8 @@
             return elapsed >= NO_VIEW_GRACE_PERIOD;
         }
         let own = Candidate {
-            losses: loss.losses(),
-            revision: loss.revision().0,
+            losses: loss.loss_count(),
+            revision: loss.snapshot_revision().0,
             node: self.membership.node().to_owned(),
         };
         let view = self.store.view.borrow();
@@ -169,7 +169,7 @@
         let unfinished_loss = recorded.filter(|l| !l.restored);
         let earlier_losses = recorded
             .map_or(0, |l| l.number)
-            .max(snapshot.map_or(0, View::losses));
+            .max(snapshot.map_or(0, View::loss_count));
         let unix_time = self.clock.unix_time();
         Some(LossRecord {
             number: unfinished_loss.map_or(earlier_losses + 1, |l| l.number),
--- a/src/state_loss/audit.rs
+++ b/src/state_loss/audit.rs
@@ -70,7 +70,7 @@
             return position;
         }
         let last = page.items.last().map(|item| item.key.clone());
-        let end = last.filter(|_| page.more);
+        let end = last.filter(|_| page.has_more);
         match self.compare(kind, &position.from, end.as_deref(), &page) {
             Finding::Same => {}
             Finding::Lost(evidence) => self.kv.report_loss(evidence),
--- a/src/state_loss/plan.rs
+++ b/src/state_loss/plan.rs
@@ -59,7 +59,7 @@
         let value_bytes = self.limits.value_kb * 1024.0;
         let max_ends_per_value = (value_bytes as usize / ARCHIVED_END_BYTES).max(1);
         // An interrupted rebuild may have written some archives of this loss already.
-        let first_part = view.archives;
+        let first_part = view.end_archive_parts;
         let parts = ends.chunks(max_ends_per_value).enumerate();
         parts
             .map(|(part, batch)| {
@@ -132,7 +132,7 @@
     let unfinished = snapshot
         .jobs
         .iter()
-        .filter(|(id, _)| !view.knows(id) && !snapshot.ends.contains_key(*id));
+        .filter(|(id, _)| !view.contains_job(id) && !snapshot.ends.contains_key(*id));
     let unfinished =
         unfinished.map(|(id, job)| (id.clone(), StoreKey::Job(id.clone()), encode(&job.value)));
     ended.chain(unfinished).collect()
--- a/src/term.rs
+++ b/src/term.rs
@@ -164,9 +164,9 @@
         scheduler.inherit_images(machine, images);
     }
     scheduler.begin_recovery(now);
-    scheduler.raise_min_attempt(view.losses());
+    scheduler.raise_min_attempt(view.loss_count());
     if view.loss.as_ref().is_some_and(|l| !l.value.confirmed) {
-        scheduler.begin_rebuild(view.losses(), now);
+        scheduler.begin_rebuild(view.loss_count(), now);
     }
 }
 
