--- a/src/config.rs
+++ b/src/config.rs
@@ -1,8 +1,8 @@
-//! The settings of a controller, checked before anything starts.
+//! Settings of a controller, validated before it starts.
 //!
-//! [`Platform`] is what the platform says of the deployment (TOML), [`Settings`] what the operators choose (XML). What
-//! follows from both, such as the configuration of the scheduler, is computed in `derived`. A file that is refused is
-//! named in one line with the field and the reason ([`ConfigError`]).
+//! [`Platform`] is the platform's description of the deployment (TOML), [`Settings`] are the operators' choices (XML).
+//! The module `derived` computes values that depend on them, such as the configuration of the scheduler. For an invalid
+//! file, [`ConfigError`] reports the file, the field and the reason in one line.
 
 mod derived;
 mod error;
--- a/src/config/derived.rs
+++ b/src/config/derived.rs
@@ -1,4 +1,4 @@
-//! What follows from the settings: defaults that depend on the deployment, and the configuration of the scheduler.
+//! Values computed from the settings: defaults that depend on the deployment, and the configuration of the scheduler.
 
 use crate::cloud_types::MAX_MACHINES_PER_PROVISIONING;
 use crate::config::operator::Settings;
@@ -7,50 +7,51 @@
 use crate::units::Micros;
 use std::collections::BTreeMap;
 
-/// Memory, in KiB, that an accepted job of a few tasks takes in the cached view and at the leader together.
-const JOB_KB: f64 = 4.0;
-/// Share of the memory that accepted jobs may take.
+/// Memory, in KiB, that an accepted job with a few tasks uses, in the cached view and in the leader's state together.
+const JOB_MEMORY_KIB: f64 = 4.0;
+/// Share of the memory limit that accepted jobs may use.
 const JOB_MEMORY_SHARE: f64 = 0.25;
-/// Jobs that are accepted however small the memory, so that a small deployment serves at all.
+/// Lower bound of the derived admission cap, so that a controller with very little memory still accepts jobs.
 const MIN_ADMISSION_CAP: usize = 50;
 
-/// Share of the sockets that idle connections to the other controllers may take, as a divisor. Heartbeats of thousands of
-/// workers wait for the leader side by side, each on a connection of its own.
+/// Divisor of the socket limit that gives the total number of idle connections kept to the other controllers. Many
+/// are needed, because thousands of forwarded heartbeats may wait for the leader at the same time, each on its own
+/// connection.
 const IDLE_SOCKETS_DIVISOR: usize = 16;
-/// Idle connections that are always kept to another controller.
-const MIN_IDLE_CONNECTIONS: usize = 8;
+/// Lower bound of the number of idle connections kept to each other controller.
+const MIN_IDLE_PEER_CONNECTIONS: usize = 8;
 
 const DEFAULT_LEADER_LEASE_MS: u64 = 2_000;
 const DEFAULT_RETRY_MS: u64 = 400;
 const DEFAULT_JITTER_MS: u64 = 100;
 
-/// Offers in a cycle for each whole core: a fifth of a second of the process's share, at a microsecond an offer.
+/// Offers per scheduling cycle for a core share of 1.0: 0.2 s of processor time at 1 µs per offer.
 const OFFERS_PER_CORE: f64 = 200_000.0;
-/// Offers that a cycle may make however small the share.
+/// Lower bound of the derived number of offers per scheduling cycle.
 const MIN_OFFERS_PER_CYCLE: usize = 1_000;
 
-/// Share of a second whose cloud requests one cycle may spend on provisioning.
+/// Time, in seconds, whose worth of cloud requests one scheduling cycle may spend on provisioning.
 const SCALE_OUT_SECONDS: f64 = 0.25;
-/// Machines that one cycle may provision however few requests the cloud takes.
+/// Lower bound of the derived number of machines provisioned per scheduling cycle.
 const MIN_SCALE_OUT_PER_CYCLE: usize = 24;
 
-/// Kind of the objectives that bound the time until a job of a class starts.
+/// Kind of the objectives that limit the time until a job of a class starts.
 const KIND_WAIT: &str = "wait";
-/// Kind of the objectives that bound the time until a team has what it is guaranteed.
+/// Kind of the objectives that limit the time until a team gets its guaranteed resources.
 const KIND_GUARANTEE: &str = "guarantee";
 
 impl Platform {
-    /// Returns the quotas of the teams by name.
+    /// Returns the quotas of the teams, by team name.
     pub fn teams(&self) -> BTreeMap<String, TeamQuota> {
         let quota = |t: &Team| TeamQuota::new(t.cpus, t.cpus_max, t.gpus, t.gpus_max);
         let teams = self.facts.teams.iter();
         teams.map(|t| (t.name.clone(), quota(t))).collect()
     }
 
-    /// Returns how many idle connections are kept to each other controller.
-    pub fn kept_connections(&self) -> usize {
+    /// Returns the maximum number of idle connections kept to each other controller.
+    pub fn max_idle_peer_connections(&self) -> usize {
         let total = self.facts.machine_limits.max_sockets / IDLE_SOCKETS_DIVISOR;
-        (total / self.members.len().max(1)).max(MIN_IDLE_CONNECTIONS)
+        (total / self.members.len().max(1)).max(MIN_IDLE_PEER_CONNECTIONS)
     }
 
     /// Returns the interval between the heartbeats of a worker.
@@ -60,15 +61,16 @@
 }
 
 impl Settings {
-    /// Returns how many jobs may be accepted and not terminal: by default as many as their share of the memory holds.
+    /// Returns the maximum number of accepted jobs that have not reached a terminal state. The default is the number of
+    /// jobs that fit into their share of the memory limit.
     pub fn admission_cap(&self, platform: &Platform) -> usize {
-        let for_jobs_kb = platform.facts.machine_limits.ram_mb * 1024.0 * JOB_MEMORY_SHARE;
-        let derived = (for_jobs_kb / JOB_KB) as usize;
+        let job_memory_kib = platform.facts.machine_limits.ram_mb * 1024.0 * JOB_MEMORY_SHARE;
+        let derived = (job_memory_kib / JOB_MEMORY_KIB) as usize;
         self.admission_cap.unwrap_or(derived.max(MIN_ADMISSION_CAP))
     }
 
-    /// Returns whether stored state that was lost is rebuilt.
-    pub fn rebuilds(&self) -> bool {
+    /// Returns whether the controller rebuilds stored state that the state service has lost. The default is not to.
+    pub fn rebuilds_lost_state(&self) -> bool {
         self.rebuild == Some(1)
     }
 
@@ -77,7 +79,8 @@
         Micros::millis(self.leader_lease_ms.unwrap_or(DEFAULT_LEADER_LEASE_MS))
     }
 
-    /// Returns the configuration of the scheduler.
+    /// Returns the configuration of the scheduler for this deployment, with the defaults of settings that are not
+    /// given.
     pub fn scheduler_config(&self, platform: &Platform) -> SchedulerConfig {
         let facts = &platform.facts;
         SchedulerConfig {
@@ -97,8 +100,8 @@
             agent_lease: Micros::from_secs_f64(facts.workers.lease_s),
             cancellation_timeout: Micros::from_secs_f64(facts.workers.cancel_s),
             list_lag: Micros::from_secs_f64(facts.cloud.list_lag_s),
-            max_start_delay: shortest_waits(&facts.objectives),
-            guarantee_start_delay: guarantee_within(&facts.objectives),
+            max_start_delay: max_start_delays(&facts.objectives),
+            guarantee_start_delay: guarantee_start_delay(&facts.objectives),
         }
     }
 }
@@ -112,18 +115,18 @@
     (machines as usize).max(MIN_SCALE_OUT_PER_CYCLE)
 }
 
-/// Returns the shortest time to start that is promised to each class.
-fn shortest_waits(objectives: &[Objective]) -> BTreeMap<String, Micros> {
-    let mut waits: BTreeMap<String, Micros> = BTreeMap::new();
+/// Returns the maximum time until a job starts, by job class: the shortest if several objectives apply to a class.
+fn max_start_delays(objectives: &[Objective]) -> BTreeMap<String, Micros> {
+    let mut delays: BTreeMap<String, Micros> = BTreeMap::new();
     for objective in objectives.iter().filter(|o| o.kind == KIND_WAIT) {
-        let within = Micros::from_secs_f64(objective.within_s);
-        let shortest = waits.entry(objective.class.clone()).or_insert(within);
-        *shortest = within.min(*shortest);
+        let delay = Micros::from_secs_f64(objective.within_s);
+        let shortest = delays.entry(objective.class.clone()).or_insert(delay);
+        *shortest = delay.min(*shortest);
     }
-    waits
+    delays
 }
 
-fn guarantee_within(objectives: &[Objective]) -> Option<Micros> {
+fn guarantee_start_delay(objectives: &[Objective]) -> Option<Micros> {
     let mut guarantees = objectives.iter().filter(|o| o.kind == KIND_GUARANTEE);
     guarantees.next().map(|o| Micros::from_secs_f64(o.within_s))
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,10 +1,10 @@
-//! Why a settings file is refused.
+//! Errors for invalid settings files.
 
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A settings file that was refused, printed as one line: the file, the field and the reason.
+/// An error in a settings file, displayed as one line with the file, the field and the reason.
 #[derive(Debug, Error)]
 #[error("{file}: {setting}", file = .file.display())]
 pub struct ConfigError {
@@ -22,13 +22,14 @@
     }
 }
 
-/// A setting that was refused, and why.
+/// An invalid setting, with the reason why it is rejected.
 #[derive(Debug, Error)]
 #[error("{field}: {reason}")]
 pub struct InvalidSetting {
-    /// The dotted path of a TOML field, `line` and its number, the name of an XML element, `document`, or `file`.
+    /// The dotted path of a TOML field, `line` and a line number, the name of an XML element, `document` for the XML
+    /// document as a whole, or `file` for a file that can't be read.
     pub field: String,
-    /// What is wrong with it.
+    /// The reason why it is rejected.
     #[source]
     pub reason: Reason,
 }
@@ -41,77 +42,77 @@
         }
     }
 
-    /// Returns an error that concerns the XML document as a whole.
+    /// Creates an error that concerns the XML document as a whole.
     pub(super) fn document(reason: impl Into<Reason>) -> InvalidSetting {
         InvalidSetting::new("document", reason)
     }
 }
 
-/// What is wrong with a setting.
+/// The reason why a setting is rejected.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum Reason {
     /// The file can't be read.
     #[error("{0}")]
     Unreadable(#[from] io::Error),
-    /// The text is not TOML, a field is missing or has the wrong type.
+    /// The text is not valid TOML, or a field is missing or has the wrong type.
     #[error("{message}", message = .0.message().replace('\n', " "))]
     Toml(#[from] Box<toml::de::Error>),
-    /// The text is not XML, or has an entity that is not defined.
+    /// The text is not well-formed XML, or contains an undefined entity.
     #[error("{0}")]
     Xml(#[from] quick_xml::Error),
-    /// Not a finite number above zero.
+    /// The value is not a finite number above zero.
     #[error("must be a number above 0")]
     NotPositive,
-    /// Not a finite number, or below zero.
+    /// The value is below zero or not a finite number.
     #[error("must not be negative")]
     Negative,
-    /// An amount of a team that is not a finite number or is below zero.
+    /// A team's guarantee or limit is below zero or not a finite number.
     #[error("amounts must not be negative")]
     NegativeAmount,
-    /// A name without characters.
+    /// A name is the empty string.
     #[error("must not be empty")]
     EmptyName,
-    /// Below the least value with which a controller can work.
+    /// The value is below the minimum that a controller needs, which is given here.
     #[error("must be at least {0}")]
     BelowMinimum(u32),
-    /// Fewer sockets than the controllers need among themselves.
+    /// The socket limit is below the minimum for this number of controllers.
     #[error("must be at least {base} and {per_member} more for each member")]
     TooFewSockets {
-        /// Sockets that a controller needs by itself.
+        /// Sockets that a controller needs regardless of the number of other controllers.
         base: usize,
-        /// Sockets that it needs for each other controller.
+        /// Additional sockets that it needs for each other controller.
         per_member: usize,
     },
-    /// An element that does not exist.
+    /// The element is not a known setting.
     #[error("unknown element")]
     UnknownElement,
-    /// An element that was given before.
+    /// The element occurs a second time.
     #[error("stands twice")]
     DuplicateElement,
-    /// An element of the form `<name/>`.
+    /// The element has the form `<name/>`, without a value.
     #[error("is empty")]
     EmptyElement,
-    /// A root element with another name, or a second one.
+    /// The root element has another name, or there is a second root element.
     #[error("the one root element is ravenhead")]
     WrongRoot,
-    /// The document ends before the root element does.
+    /// The document has no root element, or ends before the root element is closed.
     #[error("the root element ravenhead is missing or open")]
     IncompleteRoot,
-    /// Text where only elements may stand.
+    /// There is text in a place where only elements are allowed.
     #[error("text outside an element")]
     StrayText,
-    /// A value that is not an unsigned decimal number.
+    /// The value, given here, is not an unsigned decimal integer.
     #[error("{0:?} is not a whole number")]
     NotInteger(String),
-    /// A number outside its range.
+    /// The number is outside the range of the setting.
     #[error("must be {min} to {max}, not {value}")]
     OutOfRange {
-        /// The least value.
+        /// Smallest accepted value.
         min: u64,
-        /// The greatest value.
+        /// Largest accepted value.
         max: u64,
-        /// What the file has.
+        /// Value in the file.
         value: u64,
     },
 }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' own settings (XML).
+//! The operators' settings file (XML).
 
 use crate::config::error::{ConfigError, InvalidSetting, Reason};
 use crate::config::xml::{Element, read_elements};
@@ -6,32 +6,32 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// The operators' own settings. Every element may be left out; `None` stands for its default.
+/// The operators' settings. Every element is optional; `None` means that it is absent and its default applies.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Settings {
-    /// Interval at which pending jobs are offered again, in milliseconds.
+    /// Interval at which pending jobs are offered again, in milliseconds, before jitter is added.
     pub retry_ms: Option<u64>,
-    /// Upper bound of the random time added to that interval, in milliseconds.
+    /// Maximum random time added to the retry interval, in milliseconds.
     pub jitter_ms: Option<u64>,
-    /// How long an empty machine is kept, in seconds.
+    /// Time after which an empty machine is terminated, in seconds.
     pub idle_s: Option<u64>,
-    /// Free places kept for classes that can't wait for a machine to boot.
+    /// Number of free places kept for classes that can't wait for a machine to be provisioned.
     pub reserve: Option<u32>,
-    /// Upper bound of the jobs that are accepted and not terminal.
+    /// Maximum number of accepted jobs that have not reached a terminal state.
     pub admission_cap: Option<usize>,
-    /// Upper bound of the offers in one scheduling cycle; beyond it machines are sampled.
+    /// Maximum number of offers in one scheduling cycle. Beyond it, jobs are offered to samples of the machines.
     pub max_offers_per_cycle: Option<usize>,
-    /// Upper bound of the machines provisioned in one scheduling cycle.
+    /// Maximum number of machines provisioned in one scheduling cycle.
     pub max_scale_out_per_cycle: Option<usize>,
     /// Time to live of the leader's lease, in milliseconds.
     pub leader_lease_ms: Option<u64>,
-    /// Whether a new leader logs how much it has confirmed of what it found recorded: 0 or 1.
+    /// Whether a new leader logs how much of the state that it found recorded it has confirmed: 0 or 1.
     pub recovery_report: Option<u64>,
-    /// Whether stored state that was lost is rebuilt: 0 or 1.
+    /// Whether stored state that the state service has lost is rebuilt: 0 or 1.
     pub rebuild: Option<u64>,
 }
 
-/// An element of the file: its name there, the numbers that it accepts, and the setting that it stands for.
+/// Definition of an element: its name in the file, the range of its values, and the setting that it sets.
 pub(super) struct ElementKind {
     pub(super) name: &'static str,
     range: RangeInclusive<u64>,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Every element that the file may have.
+/// All elements that the file may contain.
 pub(super) static ELEMENTS: [ElementKind; 10] = [
     ElementKind::new("retry-ms", 50..=60_000, |s, n| s.retry_ms = Some(n)),
     ElementKind::new("jitter-ms", 0..=60_000, |s, n| s.jitter_ms = Some(n)),
@@ -77,11 +77,11 @@
 }
 
 impl Settings {
-    /// Reads and checks the file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Fails where the file can't be read or [`Settings::parse`] refuses its text.
+    /// Returns an error if the file can't be read or [`Settings::parse`] rejects its text.
     pub fn load(path: &Path) -> Result<Settings, ConfigError> {
         fs::read_to_string(path)
             .map_err(|e| InvalidSetting::new("file", e))
@@ -89,12 +89,12 @@
             .map_err(|invalid| ConfigError::new(path, invalid))
     }
 
-    /// Reads and checks the text.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Fails at the first element that is unknown, repeated, not a whole number or out of its range, and where the text
-    /// is not well-formed XML with the root element `ravenhead`.
+    /// Returns an error for the first element that is unknown, repeated, not a whole number or out of its range, or if
+    /// the text is not well-formed XML with the root element `ravenhead`.
     pub fn parse(text: &str) -> Result<Settings, InvalidSetting> {
         let mut settings = Settings::default();
         for element in read_elements(text)? {
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's settings file (TOML): what it says of this controller and of the deployment.
+//! The platform's settings file (TOML), which describes this controller and the deployment.
 
 use crate::config::error::{ConfigError, InvalidSetting, Reason};
 use crate::config::operator::Settings;
@@ -7,170 +7,171 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Sockets without which a controller can't serve: some for users and workers, the state service and the cloud.
+/// Minimum number of sockets for users, workers, the state service and the cloud together.
 pub(super) const MIN_SOCKETS: usize = 16;
-/// Sockets that each other controller takes besides: its own connections to this one and this one's to it.
+/// Additional sockets for each other controller: the connections that it opens to this one and those that this one
+/// opens to it.
 pub(super) const SOCKETS_PER_MEMBER: usize = 16;
 
-/// The fewest puts and deletes in one transaction with which a controller can work.
+/// Minimum number of puts and deletes per transaction that the state service must support.
 const MIN_TXN_OPS: u32 = 4;
-/// The least size, in KiB, of the largest value with which a controller can work.
+/// Minimum size limit of a stored value, in KiB, that the state service must support.
 const MIN_VALUE_KB: u32 = 2;
 
-/// Jobs below which it is worth a warning that the memory is small.
-const FEW_JOBS: usize = 1_000;
+/// Admission cap below which a warning about the small memory limit is logged.
+const MIN_RECOMMENDED_ADMISSION_CAP: usize = 1_000;
 
-/// The longest time between two heartbeats, in intervals.
+/// Maximum time between two heartbeats, as a multiple of the heartbeat interval.
 const MAX_HEARTBEAT_INTERVALS: f64 = 1.25;
-/// How long, in seconds, a worker waits for an answer that does not come.
+/// Time, in seconds, after which a worker gives up waiting for the answer to a heartbeat.
 const WORKER_ANSWER_TIMEOUT_S: f64 = 4.0;
-/// How long, in seconds, a worker pauses before it tries the next controller.
+/// Time, in seconds, that a worker waits after a missing answer before it tries the next controller.
 const WORKER_FAILOVER_PAUSE_S: f64 = 1.0;
-/// How long, in seconds, the next controller may take for its answer.
-const NEXT_ANSWER_S: f64 = 1.0;
+/// Time, in seconds, allowed for the answer of the next controller.
+const FAILOVER_ANSWER_S: f64 = 1.0;
 
-/// Another controller.
+/// Another controller of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Name of the controller.
     pub node: String,
-    /// Its zone.
+    /// Zone in which the controller runs.
     pub zone: String,
-    /// The address at which it listens for the other controllers.
+    /// Address on which it accepts connections from the other controllers.
     pub address: SocketAddr,
 }
 
-/// A team with its guarantee and its limit; a limit of 0 means none.
+/// A team with its guarantee and limit. A limit of 0 means that there is none.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team, not empty.
     pub name: String,
-    /// Guaranteed processors.
+    /// Guaranteed processor cores.
     pub cpus: f64,
-    /// Upper bound of its processors at any time.
+    /// Maximum number of processor cores in use at any time.
     pub cpus_max: f64,
     /// Guaranteed accelerators.
     pub gpus: f64,
-    /// Upper bound of its accelerators at any time.
+    /// Maximum number of accelerators in use at any time.
     pub gpus_max: f64,
 }
 
-/// A service level objective, as the platform repeats it.
+/// A service level objective, as the platform's settings state it.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct Objective {
-    /// `wait`, `up`, `finished`, `deadline`, `guarantee` …
+    /// Kind of the objective: `wait`, `up`, `finished`, `deadline`, `guarantee` and others.
     pub kind: String,
-    /// The class of jobs that it is about.
+    /// Class of the jobs to which it applies.
     pub class: String,
-    /// Its time limit, in seconds.
+    /// Time limit of the objective, in seconds.
     pub within_s: f64,
 }
 
-/// The times that workers keep to.
+/// Intervals and time limits of workers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
     /// Interval between heartbeats, in seconds.
     pub report_s: f64,
-    /// How long a worker lives without an answer, in seconds.
+    /// Agent lease: time without an answer after which a worker stops its tasks, in seconds.
     pub lease_s: f64,
-    /// How long after a cancellation its tasks must be gone, in seconds.
+    /// Time after a cancellation within which the tasks must have stopped, in seconds.
     pub cancel_s: f64,
 }
 
-/// Limits of the state service, shared by all controllers.
+/// Limits of the state service. All controllers together must stay within the rates.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
-    /// Requests a second.
+    /// Maximum requests per second.
     pub rps: f64,
-    /// Puts and deletes a second.
+    /// Maximum puts and deletes per second.
     pub write_rps: f64,
-    /// Size of the largest value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Puts and deletes in one transaction.
+    /// Maximum puts and deletes in one transaction.
     pub txn_ops: usize,
 }
 
-/// Limits of the cloud.
+/// Limits of the cloud's API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Maximum requests per second.
     pub rps: f64,
-    /// How old a machine list may be, in seconds.
+    /// Maximum age of the machine list that the cloud returns, in seconds.
     pub list_lag_s: f64,
 }
 
-/// What this process may use.
+/// Resource limits of this process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct MachineLimits {
-    /// Share of one processor core.
+    /// Share of one processor core that the process may use; 1.0 is a whole core.
     pub core_share: f64,
-    /// Memory, in MiB.
+    /// Memory limit, in MiB.
     pub ram_mb: f64,
-    /// Open sockets.
+    /// Maximum number of open sockets.
     pub max_sockets: usize,
 }
 
-/// Addresses of the regional services.
+/// Addresses of the regional services that a controller uses.
 #[derive(Debug, Clone, Deserialize)]
 pub struct External {
-    /// The cloud.
+    /// Address of the cloud's API.
     pub cloud: SocketAddr,
-    /// The state service.
+    /// Address of the state service.
     pub state: SocketAddr,
 }
 
-/// What the platform says of the deployment.
+/// The platform's description of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Facts {
-    /// Number of controllers.
+    /// Number of controllers, at least 1.
     pub size: usize,
-    /// Bound of the error of the time of day, in milliseconds.
+    /// Maximum error of the time of day, in milliseconds.
     #[serde(default)]
     pub clock_error_ms: f64,
-    /// The teams.
+    /// Teams with their quotas.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// The service level objectives.
+    /// Service level objectives by kind and job class.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// The times that workers keep to.
+    /// Intervals and time limits of workers.
     pub workers: Workers,
     /// Limits of the state service.
     pub state: StateLimits,
-    /// Limits of the cloud.
+    /// Limits of the cloud's API.
     pub cloud: CloudLimits,
-    /// Limits of this process.
+    /// Resource limits of this process.
     pub machine_limits: MachineLimits,
 }
 
-/// The platform's settings file. Fields that it has besides are ignored.
+/// The platform's settings file. Unknown fields are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Platform {
-    /// Name of this controller.
+    /// Name of this controller, not empty.
     pub node: String,
-    /// Zone of this controller.
+    /// Zone in which this controller runs.
     pub zone: String,
-    /// The address for users, workers and health checks.
+    /// Address on which it serves users, workers and health checks.
     pub bind: SocketAddr,
-    /// The address for the other controllers.
+    /// Address on which it accepts connections from the other controllers.
     pub internal_addr: SocketAddr,
     /// The other controllers.
     #[serde(default)]
     pub members: Vec<Member>,
-    /// The regional services.
+    /// Addresses of the regional services.
     pub external: External,
-    /// The deployment.
+    /// Description of the deployment.
     pub facts: Facts,
 }
 
 impl Platform {
-    /// Reads and checks the file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Fails where the file can't be read or [`Platform::parse`] refuses its text.
+    /// Returns an error if the file can't be read or [`Platform::parse`] rejects its text.
     pub fn load(path: &Path) -> Result<Platform, ConfigError> {
         fs::read_to_string(path)
             .map_err(|e| InvalidSetting::new("file", e))
@@ -178,11 +179,12 @@
             .map_err(|invalid| ConfigError::new(path, invalid))
     }
 
-    /// Reads and checks the text.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Fails where the text is not TOML, a field is missing, or a value is one with which a controller can't work.
+    /// Returns an error if the text is not valid TOML, a field is missing, or a value is outside the range that a
+    /// controller supports.
     pub fn parse(text: &str) -> Result<Platform, InvalidSetting> {
         let platform: Platform = toml::from_str(text).map_err(|e| {
             let line = e
@@ -226,22 +228,24 @@
         Ok(())
     }
 
-    /// Returns what a controller can work with, but not well: each as the field and the consequence.
+    /// Returns warnings about valid settings with which a controller works poorly. Each names the field and the
+    /// consequence.
     pub fn warnings(&self) -> Vec<String> {
         let warnings = [self.short_lease_warning(), self.small_memory_warning()];
         warnings.into_iter().flatten().collect()
     }
 
-    /// A worker whose lease ends before it can reach the next controller stops its tasks for one missed answer.
+    /// Returns a warning if one missed answer is enough to end a worker's lease. Such a worker stops its tasks before
+    /// it can get an answer from the next controller.
     fn short_lease_warning(&self) -> Option<String> {
         let lease_s = self.facts.workers.lease_s;
-        let missed_answer_s = self.facts.workers.report_s * MAX_HEARTBEAT_INTERVALS
+        let min_lease_s = self.facts.workers.report_s * MAX_HEARTBEAT_INTERVALS
             + WORKER_ANSWER_TIMEOUT_S
             + WORKER_FAILOVER_PAUSE_S
-            + NEXT_ANSWER_S;
-        (lease_s < missed_answer_s).then(|| {
+            + FAILOVER_ANSWER_S;
+        (lease_s < min_lease_s).then(|| {
             format!(
-                "facts.workers.lease_s: {lease_s} is shorter than the {missed_answer_s:.1} s that a worker needs where \
+                "facts.workers.lease_s: {lease_s} is shorter than the {min_lease_s:.1} s that a worker needs where \
                  one answer is missed"
             )
         })
@@ -250,7 +254,7 @@
     fn small_memory_warning(&self) -> Option<String> {
         let ram_mb = self.facts.machine_limits.ram_mb;
         let jobs = Settings::default().admission_cap(self);
-        (jobs < FEW_JOBS).then(|| {
+        (jobs < MIN_RECOMMENDED_ADMISSION_CAP).then(|| {
             format!("facts.machine_limits.ram_mb: {ram_mb} is memory for {jobs} jobs only")
         })
     }
@@ -282,7 +286,7 @@
             ("facts.clock_error_ms", self.clock_error_ms),
         ];
         for (field, value) in not_negative {
-            if !is_finite_amount(value) {
+            if !is_finite_non_negative(value) {
                 return Err(InvalidSetting::new(field, Reason::Negative));
             }
         }
@@ -295,7 +299,7 @@
                 return Err(InvalidSetting::new("facts.teams.name", Reason::EmptyName));
             }
             let amounts = [team.cpus, team.cpus_max, team.gpus, team.gpus_max];
-            if !amounts.into_iter().all(is_finite_amount) {
+            if !amounts.into_iter().all(is_finite_non_negative) {
                 return Err(InvalidSetting::new("facts.teams", Reason::NegativeAmount));
             }
         }
@@ -303,6 +307,6 @@
     }
 }
 
-fn is_finite_amount(value: f64) -> bool {
+fn is_finite_non_negative(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -44,10 +44,10 @@
 
 #[test]
 fn platform_file_is_read_and_unknown_fields_are_ignored() {
-    let p = Platform::parse(PLATFORM).expect("fine settings");
-    let config = Settings::default().scheduler_config(&p);
+    let platform = Platform::parse(PLATFORM).expect("valid settings");
+    let config = Settings::default().scheduler_config(&platform);
     assert_eq!(config.max_start_delay["live"], Micros::secs(12));
-    assert!(Settings::default().admission_cap(&p) > 1_000);
+    assert!(Settings::default().admission_cap(&platform) > 1_000);
 }
 
 #[test]
@@ -65,20 +65,25 @@
     assert!(error.reason.to_string().contains("lease_s"), "{error}");
 }
 
-// Guards against a start that ends in a service which can accept nobody.
+// Without the check, a controller with too few sockets would start and then accept no connections.
 #[test]
-fn too_few_sockets_are_refused_and_a_short_worker_lease_is_warned_of() {
-    let with = |from: &str, to: &str| PLATFORM.replace(from, to);
-    let p = Platform::parse(PLATFORM).expect("fine settings");
-    assert_eq!(p.warnings(), Vec::<String>::new());
-    let min = MIN_SOCKETS + SOCKETS_PER_MEMBER * p.members.len();
-    let sockets = format!("max_sockets = {}", p.facts.machine_limits.max_sockets);
-    assert!(Platform::parse(&with(&sockets, &format!("max_sockets = {min}"))).is_ok());
-    let few = format!("max_sockets = {}", min - 1);
-    let error = Platform::parse(&with(&sockets, &few)).expect_err("too few");
+fn too_few_sockets_are_refused_and_a_short_worker_lease_causes_a_warning() {
+    let replaced = |from: &str, to: &str| PLATFORM.replace(from, to);
+    let platform = Platform::parse(PLATFORM).expect("valid settings");
+    assert_eq!(platform.warnings(), Vec::<String>::new());
+    let min_sockets = MIN_SOCKETS + SOCKETS_PER_MEMBER * platform.members.len();
+    let sockets = format!(
+        "max_sockets = {}",
+        platform.facts.machine_limits.max_sockets
+    );
+    assert!(Platform::parse(&replaced(&sockets, &format!("max_sockets = {min_sockets}"))).is_ok());
+    let too_few_sockets = format!("max_sockets = {}", min_sockets - 1);
+    let error =
+        Platform::parse(&replaced(&sockets, &too_few_sockets)).expect_err("too few sockets");
     assert_eq!(error.field, "facts.machine_limits.max_sockets");
-    let tight = Platform::parse(&with("lease_s = 36.0", "lease_s = 8.0")).expect("it can serve");
-    let warnings = tight.warnings();
+    let short_lease = Platform::parse(&replaced("lease_s = 36.0", "lease_s = 8.0"))
+        .expect("accepted with a warning");
+    let warnings = short_lease.warnings();
     assert_eq!(warnings.len(), 1, "{warnings:?}");
     assert!(
         warnings[0].starts_with("facts.workers.lease_s: 8 "),
@@ -86,23 +91,30 @@
     );
 }
 
-// Guards against bounds that follow from the smallest memory or the smallest share, where a fleet is large.
+// If the bounds did not grow with the limits, a large fleet would get those of the smallest memory limit and core
+// share.
 #[test]
 fn derived_bounds_grow_with_the_limits_and_can_be_overridden() {
-    let mut p = Platform::parse(PLATFORM).expect("fine settings");
-    p.facts.machine_limits.ram_mb = 200.0;
-    assert_eq!(Settings::default().admission_cap(&p), 12_800);
-    let large = Settings::parse(include_str!("../../deploy/large-fleet.xml")).expect("it is fine");
-    assert_eq!(large.admission_cap(&p), 20_000);
-    assert_eq!(large.scheduler_config(&p).max_scale_out_per_cycle, 200);
-    p.facts.machine_limits.max_sockets = 3_500;
-    assert!(p.kept_connections() * p.members.len().max(1) <= 3_500 / 16);
+    let mut platform = Platform::parse(PLATFORM).expect("valid settings");
+    platform.facts.machine_limits.ram_mb = 200.0;
+    assert_eq!(Settings::default().admission_cap(&platform), 12_800);
+    let large_fleet =
+        Settings::parse(include_str!("../../deploy/large-fleet.xml")).expect("valid settings");
+    assert_eq!(large_fleet.admission_cap(&platform), 20_000);
+    assert_eq!(
+        large_fleet
+            .scheduler_config(&platform)
+            .max_scale_out_per_cycle,
+        200
+    );
+    platform.facts.machine_limits.max_sockets = 3_500;
+    assert!(platform.max_idle_peer_connections() * platform.members.len().max(1) <= 3_500 / 16);
 }
 
 #[test]
 fn example_operator_settings_are_accepted_and_name_every_element() {
     let text = include_str!("../../deploy/ravenhead.xml");
-    let settings = Settings::parse(text).expect("a fine example");
+    let settings = Settings::parse(text).expect("a valid example");
     assert_eq!(settings.retry_ms, Some(400));
     assert_eq!(settings.leader_lease_ms, Some(2_000));
     for name in ELEMENTS.iter().map(|kind| kind.name) {
@@ -112,12 +124,16 @@
 
 #[test]
 fn recovery_report_is_off_unless_enabled() {
-    let p = Platform::parse(PLATFORM).expect("fine settings");
+    let platform = Platform::parse(PLATFORM).expect("valid settings");
     let is_reported = |text: &str| {
-        let settings = Settings::parse(text).expect("fine settings");
-        settings.scheduler_config(&p).recovery_report
+        let settings = Settings::parse(text).expect("valid settings");
+        settings.scheduler_config(&platform).recovery_report
     };
-    assert!(!Settings::default().scheduler_config(&p).recovery_report);
+    assert!(
+        !Settings::default()
+            .scheduler_config(&platform)
+            .recovery_report
+    );
     assert!(!is_reported(include_str!("../../deploy/ravenhead.xml")));
     assert!(is_reported(include_str!("../../deploy/recovery.xml")));
 }
@@ -139,6 +155,6 @@
     }
     assert!(Settings::parse("<other/>").is_err());
     assert!(Settings::parse("").is_err());
-    let empty = Settings::parse("<ravenhead/>").expect("no element is needed");
+    let empty = Settings::parse("<ravenhead/>").expect("every element is optional");
     assert_eq!(empty, Settings::default());
 }
--- a/src/config/tests/error_lines.rs
+++ b/src/config/tests/error_lines.rs
@@ -1,13 +1,13 @@
-//! What is printed for a file that is refused, or that a controller can work with, but not well.
+//! Texts of the errors for rejected settings files, and of the warnings for accepted ones.
 //!
-//! The lines are those that were printed before the errors had types; operators and their scripts may know them.
+//! The texts must not change between versions, because operators and their scripts may match them.
 
 use super::PLATFORM;
 use crate::config::{ConfigError, Platform, Settings};
 use std::path::Path;
 
-/// An edit of the platform's file, as what is replaced and by what, and the line that is printed for it.
-const PLATFORM_LINES: &[(&str, &str, &str)] = &[
+/// Edits of the platform's settings file: the text to replace, its replacement, and the error line that results.
+const PLATFORM_ERROR_LINES: &[(&str, &str, &str)] = &[
     (
         "report_s = 3.0",
         "report_s = 0.0",
@@ -123,7 +123,7 @@
         "bind = \"here\"",
         "FILE: line 4: invalid socket address syntax",
     ),
-    // The first of two faults is told.
+    // Of two errors, only the first is reported.
     (
         "size = 3",
         "size = 0\nclock_error_ms = -1.0",
@@ -131,8 +131,8 @@
     ),
 ];
 
-/// The text of the operators' file, and the line that is printed for it.
-const OPERATOR_LINES: &[(&str, &str)] = &[
+/// Texts of the operators' settings file, each with the error line that results.
+const OPERATOR_ERROR_LINES: &[(&str, &str)] = &[
     (
         "<ravenhead><retry-ms>soon</retry-ms></ravenhead>",
         "FILE: retry-ms: \"soon\" is not a whole number",
@@ -251,7 +251,7 @@
     ),
 ];
 
-/// Returns the line that the program prints for a file with this text, with `FILE` in place of its path.
+/// Returns the error line for a file with this text, with `FILE` in place of the file's path.
 fn printed_line(text: &str, load: impl Fn(&Path) -> Option<ConfigError>) -> String {
     let name = format!(
         "ravenhead-config-{}-{}",
@@ -262,13 +262,13 @@
     std::fs::write(&path, text).expect("the file is written");
     let error = load(&path);
     std::fs::remove_file(&path).expect("the file is removed");
-    let line = error.expect("the file is refused").to_string();
+    let line = error.expect("the file is rejected").to_string();
     line.replace(&path.display().to_string(), "FILE")
 }
 
 #[test]
 fn error_lines_of_the_platform_file_are_stable() {
-    for (from, to, line) in PLATFORM_LINES {
+    for (from, to, line) in PLATFORM_ERROR_LINES {
         let text = PLATFORM.replace(from, to);
         assert_eq!(
             printed_line(&text, |path| Platform::load(path).err()),
@@ -279,13 +279,13 @@
 
 #[test]
 fn error_lines_of_the_operator_settings_are_stable() {
-    for (text, line) in OPERATOR_LINES {
+    for (text, line) in OPERATOR_ERROR_LINES {
         assert_eq!(printed_line(text, |path| Settings::load(path).err()), *line);
     }
 }
 
 #[test]
-fn a_missing_file_is_named() {
+fn missing_file_is_named_in_the_error() {
     let path = Path::new("/nowhere/x");
     let line = "/nowhere/x: file: No such file or directory (os error 2)";
     assert_eq!(Platform::load(path).expect_err("no file").to_string(), line);
@@ -293,11 +293,11 @@
 }
 
 #[test]
-fn texts_of_the_warnings_are_stable() {
+fn warning_texts_are_stable() {
     let text = PLATFORM
         .replace("lease_s = 36.0", "lease_s = 8.0")
         .replace("ram_mb = 200.0", "ram_mb = 2.5");
-    let platform = Platform::parse(&text).expect("it can serve");
+    let platform = Platform::parse(&text).expect("accepted with warnings");
     assert_eq!(
         platform.warnings(),
         [
--- a/src/config/xml.rs
+++ b/src/config/xml.rs
@@ -1,4 +1,4 @@
-//! Reads an XML document of one root element with unnested, unrepeated elements below it.
+//! Reader for XML documents that consist of a root element and its direct children, each with a different name.
 
 use crate::config::error::{InvalidSetting, Reason};
 use quick_xml::Reader;
@@ -10,16 +10,16 @@
 #[derive(Debug)]
 pub(super) struct Element {
     pub(super) name: String,
-    /// Its unescaped text, with any white space around it.
+    /// Unescaped text of the element, including surrounding white space.
     pub(super) text: String,
 }
 
-/// Returns the elements below the root, in the order of the document.
+/// Returns the elements below the root, in document order.
 ///
 /// # Errors
 ///
-/// Fails where the text is not well-formed XML, has another root, or has elements that are nested, repeated or of the
-/// form `<name/>`.
+/// Returns an error if the text is not well-formed XML, has another root element, or has elements that are nested,
+/// repeated or of the form `<name/>`.
 pub(super) fn read_elements(text: &str) -> Result<Vec<Element>, InvalidSetting> {
     let mut reader = Reader::from_str(text);
     let mut document = Document::default();
@@ -41,11 +41,11 @@
     String::from_utf8_lossy(tag.name().as_ref()).into_owned()
 }
 
-/// What was read so far. That end tags match is checked by the XML reader.
+/// The part of the document that has been read. The XML reader checks that start and end tags match.
 #[derive(Default)]
 struct Document {
     has_root: bool,
-    /// Elements that are open, the root among them.
+    /// Number of open elements, including the root.
     depth: usize,
     elements: Vec<Element>,
 }
--- a/src/controller/parts.rs
+++ b/src/controller/parts.rs
@@ -57,7 +57,7 @@
         platform.external.state,
         limits.rps / size,
         limits.write_rps / size,
-        settings.rebuilds(),
+        settings.rebuilds_lost_state(),
     )
 }
 
@@ -69,7 +69,7 @@
 }
 
 fn peer_clients(platform: &Platform) -> Vec<Peer> {
-    let max_idle = platform.kept_connections();
+    let max_idle = platform.max_idle_peer_connections();
     let members = platform.members.iter();
     let peers = members.map(|m| Peer::new(m.node.clone(), m.address, max_idle));
     peers.collect()
--- a/src/controller/tasks.rs
+++ b/src/controller/tasks.rs
@@ -75,7 +75,7 @@
             c.cancellations.terminate_residue().await;
         }),
     ];
-    if c.shared.settings.rebuilds() {
+    if c.shared.settings.rebuilds_lost_state() {
         tasks.push(spawn(ex, c, "rebuild", async |c| c.state_loss.run().await));
     }
     for i in 0..c.shared.peers.len() {
--- a/src/state_loss.rs
+++ b/src/state_loss.rs
@@ -68,7 +68,7 @@
             membership,
             cancellations,
             limits: platform.facts.state.clone(),
-            is_enabled: settings.rebuilds(),
+            is_enabled: settings.rebuilds_lost_state(),
         }
     }
 
