--- a/crates/load/src/worker.rs
+++ b/crates/load/src/worker.rs
@@ -106,7 +106,7 @@
                 pause(REPORT_S * (0.75 + 0.5 * fastrand::f64())).await;
             }
             _ => {
-                client.forget_idle();
+                client.close_idle_connections();
                 pause(1.0).await;
             }
         }
--- a/src/api/admission.rs
+++ b/src/api/admission.rs
@@ -121,7 +121,7 @@
     let team = teams.get(&spec.team).ok_or(Rejection::UnknownTeam)?;
     let need = spec.need();
     let is_allowed = |t: &MachineType| t.zones.iter().any(|z| spec.allows(&t.name, z, false));
-    let fits = |t: &MachineType| t.resources().holds(&need) && is_allowed(t);
+    let fits = |t: &MachineType| t.resources().can_fit(&need) && is_allowed(t);
     if !machine_types.iter().any(fits) {
         return Err(Rejection::FitsNoMachineType);
     }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,7 +1,7 @@
-//! The clock: every reading of the time and every wait goes through here, so that a test can supply its own time.
+//! The clock. All code reads the time and sleeps through this module, so that tests can run in virtual time.
 //!
-//! Outside tests the time is that of the operating system. A test puts a [`TimeSource`] of its own in place of it with
-//! [`use_time_source`], for its thread only.
+//! Outside tests the time comes from the operating system. A test installs its own [`TimeSource`] for the current
+//! thread with [`use_time_source`].
 
 use crate::units::Micros;
 use async_io::Timer;
@@ -12,12 +12,13 @@
 use std::sync::OnceLock;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// What the monotonic clock shows when the process starts, so that points in time before its start can be expressed.
+/// Reading of the monotonic clock at the start of the process. It is above zero so that earlier points in time can be
+/// expressed.
 const MONOTONIC_START: Micros = Micros::secs(86_400);
 
-/// A time other than the operating system's: the seam by which tests move the time themselves.
+/// A replacement for the operating system's time, with which tests control how time passes.
 pub trait TimeSource {
-    /// Returns the time since the source began; it never goes back.
+    /// Returns the time since the source was created. It never decreases.
     fn now(&self) -> Micros;
     /// Returns the time of day, in microseconds since the Unix epoch.
     fn unix_time(&self) -> u64;
@@ -26,28 +27,28 @@
 }
 
 thread_local! {
-    /// What this thread uses in place of the operating system's time.
+    /// Time source of this thread; `None` is the operating system's time.
     static TIME_SOURCE: RefCell<Option<Rc<dyn TimeSource>>> = const { RefCell::new(None) };
 }
 
-/// Makes this thread use another time; `None` is the operating system's.
+/// Sets the time source of this thread; `None` restores the operating system's time.
 pub fn use_time_source(source: Option<Rc<dyn TimeSource>>) {
     TIME_SOURCE.set(source);
 }
 
-fn substitute() -> Option<Rc<dyn TimeSource>> {
+fn time_source() -> Option<Rc<dyn TimeSource>> {
     TIME_SOURCE.with_borrow(Clone::clone)
 }
 
-/// The clock of this process, in whole microseconds.
+/// The clock of this process, with a resolution of one microsecond.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Clock;
 
 impl Clock {
-    /// Returns the monotonic time. It is the same on all threads, and means nothing to other processes.
+    /// Returns the monotonic time. All threads share its origin, which is meaningless to other processes.
     pub fn now(self) -> Micros {
         static STARTED_AT: OnceLock<Instant> = OnceLock::new();
-        let since_start = match substitute() {
+        let since_start = match time_source() {
             Some(source) => source.now(),
             None => {
                 let started_at = STARTED_AT.get_or_init(Instant::now);
@@ -59,7 +60,7 @@
 
     /// Returns the time of day, in microseconds since the Unix epoch.
     pub fn unix_time(self) -> u64 {
-        match substitute() {
+        match time_source() {
             Some(source) => source.unix_time(),
             None => SystemTime::now()
                 .duration_since(UNIX_EPOCH)
@@ -68,9 +69,9 @@
     }
 }
 
-/// Waits for at least this long.
+/// Waits for at least `duration`.
 pub async fn sleep(duration: Micros) {
-    match substitute() {
+    match time_source() {
         Some(source) => source.sleep_until(source.now() + duration).await,
         None => {
             Timer::after(duration.into()).await;
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,10 +1,10 @@
-//! The cloud's client: machine types, machine list, provisioning and termination.
+//! Client for the cloud's API: machine types, the machine list, provisioning and termination.
 
 mod error;
 mod wire;
 
 pub use crate::cloud_types::{
-    Listed, ListedStatus, MAX_MACHINES_PER_PROVISIONING, MAX_MACHINES_PER_TERMINATION,
+    ListedMachine, ListedStatus, MAX_MACHINES_PER_PROVISIONING, MAX_MACHINES_PER_TERMINATION,
     ProvisioningRequest,
 };
 pub use error::CloudError;
@@ -20,26 +20,26 @@
 use std::net::SocketAddr;
 use wire::{MachineList, MachineTypes, ProvisionBody, Provisioned, TerminateBody, parse_response};
 
-/// How long a request may take.
+/// Timeout of one request, connecting included.
 const CALL_TIMEOUT: Micros = Micros::secs(4);
-/// Machines in one page of the machine list.
+/// Number of machines requested per page of the machine list.
 const PAGE_SIZE: usize = 500;
-/// How often a page is requested while the cloud refuses it.
+/// Maximum number of attempts to read a page that the cloud refuses.
 const MAX_PAGE_ATTEMPTS: usize = 4;
-/// Share of the request rate, as a divisor, that reading the machine list may take: the rest is left to provisioning and
-/// termination.
+/// Divisor of the cloud's request rate that gives the rate at which the machine list may be read. The remaining
+/// requests are for provisioning and termination.
 const LIST_RATE_DIVISOR: f64 = 2.0;
 
-/// The cloud as one controller sees it.
+/// A client for the cloud, used by one controller.
 pub struct Cloud {
     client: Client,
-    /// Pause between two pages of the machine list, so that listing a large fleet leaves half of the requests to
+    /// Pause between two pages of the machine list, so that listing a large fleet leaves half of the request rate for
     /// provisioning and termination.
     page_pause: Micros,
 }
 
 impl Cloud {
-    /// Creates a client without connections for a cloud that takes `rps` requests a second.
+    /// Creates a client for a cloud that accepts `rps` requests per second. Connections are opened when needed.
     pub fn new(addr: SocketAddr, rps: f64) -> Cloud {
         Cloud {
             client: Client::new(addr),
@@ -51,22 +51,22 @@
     ///
     /// # Errors
     ///
-    /// Fails as every request to the cloud does; see [`CloudError`].
+    /// Returns the [`CloudError`] of the request.
     pub async fn machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
         let response: MachineTypes = self.get("/flavors").await?;
         Ok(response.machine_types)
     }
 
-    /// Returns all machines, as the lagging list has them, read page by page.
+    /// Returns all machines, read page by page. The cloud's list lags behind the actual state.
     ///
-    /// Guards against a fleet of many pages whose list is never read to its end: one request too many, and all pages read
-    /// so far would be read again.
+    /// If a page is refused, only that page is retried. Otherwise a single request above the rate limit would discard the
+    /// pages already read, and the list of a fleet of many pages might never be complete.
     ///
     /// # Errors
     ///
-    /// Fails where a page fails, or is refused at every attempt.
-    pub async fn list(&self) -> Result<Vec<Listed>, CloudError> {
-        let mut machines: Vec<Listed> = Vec::new();
+    /// Returns an error if a page fails, or if the cloud refuses it at every attempt.
+    pub async fn list(&self) -> Result<Vec<ListedMachine>, CloudError> {
+        let mut machines: Vec<ListedMachine> = Vec::new();
         loop {
             let page = self.page_after(machines.last().map(|l| &l.machine)).await?;
             let is_last = !page.more || page.machines.is_empty();
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Returns the page of the machine list that follows a machine, or the first one.
+    /// Returns the page of the machine list that starts after machine `last`, or the first page if that is `None`.
     async fn page_after(&self, last: Option<&MachineId>) -> Result<MachineList, CloudError> {
         let path = match last {
             Some(last) => format!("/hosts?from={last}&page={PAGE_SIZE}"),
@@ -93,12 +93,13 @@
         self.get(&path).await
     }
 
-    /// Provisions machines and returns their names. The request may be repeated and is carried out once.
+    /// Provisions machines and returns their ids. The request is idempotent: repeated under the same request name, it
+    /// is carried out once.
     ///
     /// # Errors
     ///
-    /// Fails with [`CloudError::NoCapacity`] where there are no machines of this type, zone and kind, otherwise as every
-    /// request does. After [`CloudError::Unknown`] the machines may exist.
+    /// Returns [`CloudError::NoCapacity`] if the cloud has no machines of this type in this zone, spot or on-demand as
+    /// requested, and otherwise the error of the request. After [`CloudError::Unknown`] the machines may exist.
     pub async fn provision(
         &self,
         request: &ProvisioningRequest,
@@ -108,11 +109,11 @@
         Ok(response.machines)
     }
 
-    /// Terminates machines. Once this succeeds they are gone with everything on them.
+    /// Terminates machines. On success the machines, their tasks and their local data no longer exist.
     ///
     /// # Errors
     ///
-    /// Fails as every request to the cloud does. After [`CloudError::Unknown`] the machines may be gone.
+    /// Returns the [`CloudError`] of the request. After [`CloudError::Unknown`] the machines may have been terminated.
     pub async fn terminate(&self, machines: &[MachineId]) -> Result<(), CloudError> {
         let _: Value = self
             .post("/hosts/return", &TerminateBody { machines })
@@ -141,7 +142,7 @@
     ) -> Result<T, CloudError> {
         let result = self.client.call(method, path, body, CALL_TIMEOUT).await;
         let (status, bytes) = result.map_err(|e| {
-            self.client.forget_idle();
+            self.client.close_idle_connections();
             CloudError::from_transport(e)
         })?;
         parse_response(status, &bytes)
--- a/src/cloud/error.rs
+++ b/src/cloud/error.rs
@@ -1,27 +1,28 @@
-//! Why a request to the cloud failed, and whether it may have been carried out all the same.
+//! Errors of requests to the cloud, by whether the request may have been carried out.
 
 use crate::http::{FailureCause, HttpError, MalformedResponse};
 use thiserror::Error;
 
-/// Why the cloud did not do what was asked.
+/// The reason why a request to the cloud failed.
 #[derive(Debug, Error)]
 pub enum CloudError {
-    /// There are no machines of this type, zone and kind.
+    /// The cloud has no machines of this type in this zone, spot or on-demand as requested.
     #[error("no capacity")]
     NoCapacity,
-    /// Certainly not carried out: too many requests, an outage, or no connection.
+    /// The request was not carried out: the rate limit was exceeded, the cloud is unavailable, or no connection could
+    /// be opened.
     #[error("refused: {0}")]
     Refused(#[source] FailureCause),
-    /// May have been carried out, or may still be.
+    /// The outcome is unknown: the request may have been carried out, or may still be.
     #[error("no answer: {0}")]
     Unknown(#[source] FailureCause),
-    /// The cloud does not understand the request, or the client its response.
+    /// The cloud rejected the request as invalid, or its response can't be parsed.
     #[error("malformed: {0}")]
     Malformed(#[from] MalformedResponse),
 }
 
 impl CloudError {
-    /// Sorts a failure of the transport by whether the request can have reached the cloud.
+    /// Converts a transport error according to whether the request may have reached the cloud.
     pub(super) fn from_transport(error: HttpError) -> CloudError {
         match error {
             HttpError::NotSent(_) => CloudError::Refused(FailureCause::Transport(error)),
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -20,17 +20,17 @@
     }
 }
 
-fn names() -> [MachineId; 2] {
+fn machine_ids() -> [MachineId; 2] {
     ["m-1", "m-2"].map(|name| MachineId(name.into()))
 }
 
 #[test]
-fn provisioning_body_has_the_bytes_it_had_as_a_json_value() {
+fn provisioning_body_equals_the_json_value_byte_for_byte() {
     let request = request();
     let bytes = serde_json::to_string(&ProvisionBody::from(&request)).expect("JSON");
-    let former = json!({"charter": request.request_name, "rig": request.machine_type, "yard": request.zone,
+    let expected = json!({"charter": request.request_name, "rig": request.machine_type, "yard": request.zone,
         "loaners": request.spot, "howMany": request.count});
-    assert_eq!(bytes, former.to_string());
+    assert_eq!(bytes, expected.to_string());
     assert_eq!(
         bytes,
         r#"{"charter":"r-7-\"12\"","howMany":3,"loaners":true,"rig":"g8","yard":"a"}"#
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn termination_body_has_the_bytes_it_had_as_a_json_value() {
-    let machines = names();
+fn termination_body_equals_the_json_value_byte_for_byte() {
+    let machines = machine_ids();
     let bytes = serde_json::to_string(&TerminateBody {
         machines: &machines,
     })
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn texts_of_failures_are_stable() {
+fn error_texts_are_stable() {
     let text = |status, body: &[u8]| {
         let error = parse_response::<Vec<u8>>(status, body).expect_err("a failure");
         error.to_string()
@@ -78,14 +78,17 @@
     );
     let not_sent = CloudError::from_transport(HttpError::NotSent("connecting timed out".into()));
     assert_eq!(not_sent.to_string(), "refused: connecting timed out");
-    let lost = CloudError::from_transport(HttpError::NoAnswer("timed out".into()));
-    assert_eq!(lost.to_string(), "no answer: timed out");
+    let no_answer = CloudError::from_transport(HttpError::NoAnswer("timed out".into()));
+    assert_eq!(no_answer.to_string(), "no answer: timed out");
 }
 
 #[test]
-fn failures_keep_their_sources() {
-    let lost = CloudError::from_transport(HttpError::NoAnswer("timed out".into()));
-    let source = lost.source().and_then(Error::source).expect("a source");
+fn errors_keep_their_sources() {
+    let no_answer = CloudError::from_transport(HttpError::NoAnswer("timed out".into()));
+    let source = no_answer
+        .source()
+        .and_then(Error::source)
+        .expect("a source");
     assert!(source.is::<HttpError>());
     assert!(matches!(
         parse_response::<Value>(429, b""),
@@ -100,13 +103,14 @@
 #[test]
 fn empty_body_of_a_termination_is_a_success() {
     assert_eq!(
-        parse_response::<Value>(200, b"").expect("it is fine"),
+        parse_response::<Value>(200, b"").expect("an empty body is accepted"),
         Value::Null
     );
 }
 
-/// Runs `work` against a cloud that gives these responses in turn, and returns the requests that it received.
-fn requests_of<Fut: Future>(
+/// Runs `work` with a client of a server that sends `responses` in this order. Returns the output of `work` and the
+/// requests that the server received.
+fn call_with_responses<Fut: Future>(
     responses: &[(u16, &str)],
     work: impl FnOnce(Cloud) -> Fut,
 ) -> (Fut::Output, Vec<String>) {
@@ -145,7 +149,7 @@
 }
 
 #[test]
-fn list_is_read_page_by_page_and_a_refused_page_again() {
+fn list_is_read_page_by_page_and_a_refused_page_is_retried() {
     let machine = |name: &str| json!({"nameId": name, "rig": "g8", "yard": "a", "loaners": false, "status": "reserved", "ageS": 1.5});
     let first = json!({"hosts": [machine("m-1"), machine("m-2")], "more": true}).to_string();
     let second = json!({"hosts": [machine("m-3")]}).to_string();
@@ -156,7 +160,7 @@
         (429, ""),
         (200, &second),
     ];
-    let (list, received) = requests_of(&responses, async |cloud| cloud.list().await);
+    let (list, received) = call_with_responses(&responses, async |cloud| cloud.list().await);
     let names: Vec<String> = list
         .expect("a list")
         .into_iter()
@@ -169,7 +173,7 @@
 
 #[test]
 fn page_refused_four_times_fails_the_list() {
-    let (list, received) = requests_of(&[(429, ""); 4], async |cloud| cloud.list().await);
+    let (list, received) = call_with_responses(&[(429, ""); 4], async |cloud| cloud.list().await);
     assert!(matches!(list, Err(CloudError::Refused(_))));
     assert_eq!(received.len(), 4);
 }
@@ -177,12 +181,12 @@
 #[test]
 fn provisioning_and_termination_are_sent_as_one_request_each() {
     let responses = [(200, r#"{"hosts":["m-1","m-2"]}"#), (200, "")];
-    let (machines, received) = requests_of(&responses, async |cloud| {
+    let (machines, received) = call_with_responses(&responses, async |cloud| {
         let machines = cloud.provision(&request()).await.expect("machines");
         cloud.terminate(&machines).await.expect("terminated");
         machines
     });
-    assert_eq!(machines, names());
+    assert_eq!(machines, machine_ids());
     assert_eq!(
         received,
         [
--- a/src/cloud/wire.rs
+++ b/src/cloud/wire.rs
@@ -1,42 +1,43 @@
-//! Bodies of the cloud's protocol under the names that it gives to their fields.
+//! Request and response bodies of the cloud's API, serialized under the field names of that API.
 
 use crate::cloud::error::CloudError;
-use crate::cloud_types::{Listed, ProvisioningRequest};
+use crate::cloud_types::{ListedMachine, ProvisioningRequest};
 use crate::http::{FailureCause, MalformedResponse};
 use crate::scheduler::{MachineId, MachineType};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// What an empty body reads as.
-const EMPTY_BODY: &[u8] = b"null";
-/// Text in the body of a 503 that says that there are no machines, as opposed to an outage.
+/// JSON that is parsed in place of an empty body.
+const EMPTY_BODY_JSON: &[u8] = b"null";
+/// Text in the body of a 503 response by which the cloud reports a lack of machines rather than an outage.
 const NO_CAPACITY: &str = "no capacity";
 
-/// The response with the machine types.
+/// Response to a request for the machine types.
 #[derive(Deserialize)]
 pub(super) struct MachineTypes {
     #[serde(rename = "rigs")]
     pub(super) machine_types: Vec<MachineType>,
 }
 
-/// A page of the machine list.
+/// One page of the machine list.
 #[derive(Deserialize)]
 pub(super) struct MachineList {
     #[serde(rename = "hosts")]
-    pub(super) machines: Vec<Listed>,
+    pub(super) machines: Vec<ListedMachine>,
     /// Whether another page follows.
     #[serde(default)]
     pub(super) more: bool,
 }
 
-/// The response to a provisioning request.
+/// Response to a provisioning request: the ids of the new machines.
 #[derive(Deserialize)]
 pub(super) struct Provisioned {
     #[serde(rename = "hosts")]
     pub(super) machines: Vec<MachineId>,
 }
 
-/// A provisioning request. The fields stand in the alphabetical order of their wire names, as they always were sent.
+/// Body of a provisioning request. The fields are declared in the alphabetical order of their wire names, which keeps
+/// the bytes of the request the same across versions.
 #[derive(Serialize)]
 pub(super) struct ProvisionBody<'a> {
     #[serde(rename = "charter")]
@@ -63,14 +64,14 @@
     }
 }
 
-/// A termination.
+/// Body of a termination request.
 #[derive(Serialize)]
 pub(super) struct TerminateBody<'a> {
     #[serde(rename = "hosts")]
     pub(super) machines: &'a [MachineId],
 }
 
-/// Returns the body of a successful response, or the error that the status stands for.
+/// Parses the body of a successful response, or returns the error that corresponds to the status.
 pub(super) fn parse_response<T: DeserializeOwned>(
     status: u16,
     body: &[u8],
@@ -78,8 +79,12 @@
     let text = || String::from_utf8_lossy(body);
     match status {
         200 => {
-            // The response to a termination may have no body.
-            let json = if body.is_empty() { EMPTY_BODY } else { body };
+            // A successful termination may be answered with an empty body.
+            let json = if body.is_empty() {
+                EMPTY_BODY_JSON
+            } else {
+                body
+            };
             Ok(serde_json::from_slice(json).map_err(MalformedResponse::Json)?)
         }
         503 if text().contains(NO_CAPACITY) => Err(CloudError::NoCapacity),
--- a/src/futures.rs
+++ b/src/futures.rs
@@ -1,4 +1,4 @@
-//! Combinators of futures: a time limit, and several futures side by side.
+//! Future combinators: a timeout, and concurrent execution of several futures.
 
 use crate::clock::sleep;
 use crate::units::Micros;
@@ -6,7 +6,8 @@
 use std::future::Future;
 use std::task::Poll;
 
-/// Runs `work` for at most `limit` and returns its output, or `None` if the time ran out; `work` is then dropped.
+/// Runs `work` for at most `limit`. Returns its output, or `None` if it did not complete in time; `work` is then
+/// dropped.
 pub async fn timeout<T>(limit: Micros, work: impl Future<Output = T>) -> Option<T> {
     async { Some(work.await) }
         .or(async {
@@ -16,7 +17,7 @@
         .await
 }
 
-/// Runs the futures concurrently and returns their outputs in the order of the futures.
+/// Runs the futures concurrently and returns their outputs in the order of `work`.
 pub async fn join_all<T>(work: Vec<impl Future<Output = T>>) -> Vec<T> {
     let mut tasks: Vec<_> = work.into_iter().map(|w| (Box::pin(w), None)).collect();
     future::poll_fn(|cx| {
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 on top of `async-h1`: a pooled client for one address, and a routine that serves one connection.
+//! HTTP/1.1 based on `async-h1`: a client with a connection pool for one address, and a server for one connection.
 
 mod bounded;
 mod client;
@@ -13,7 +13,7 @@
 
 use http_types::headers::HeaderValues;
 
-/// Returns whether a `Connection` header ends the connection after this message.
+/// Returns whether the `Connection` header says that the connection closes after this message.
 fn ends_connection(header: Option<&HeaderValues>) -> bool {
     header.is_some_and(|values| values.as_str().eq_ignore_ascii_case("close"))
 }
--- a/src/http/bounded.rs
+++ b/src/http/bounded.rs
@@ -1,4 +1,4 @@
-//! A connection with a limit on what is read from it.
+//! A connection with a limit on the number of bytes read from it.
 
 use crate::net::Stream;
 use futures_lite::{AsyncRead, AsyncWrite, io};
@@ -7,10 +7,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::task::{Context, Poll};
 
-/// A connection from which at most a given number of bytes can be read; clones share the limit.
+/// A connection from which at most a given number of bytes can be read. Clones share the limit.
 ///
-/// Guards against a head without an end: `async-h1` looks at a head's length only at the end of each line, and the
-/// whole of it would be kept in memory until then.
+/// Prevents a request head of unlimited length from filling the memory: `async-h1` checks the length of a head only at
+/// the end of each line and buffers the whole line until then.
 #[derive(Clone)]
 pub(super) struct BoundedStream {
     stream: Stream,
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,4 +1,4 @@
-//! The client for one address.
+//! HTTP client for one address.
 
 use crate::futures::timeout;
 use crate::http::ends_connection;
@@ -11,25 +11,26 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Idle connections that a client keeps; more are closed after their response.
-const MAX_IDLE: usize = 8;
+/// Maximum number of idle connections that a client keeps. Further connections are closed after their response.
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// What broke a connection: an I/O error, a message that is not HTTP, or a text where there is no error beneath.
+/// The cause of a connection failure: an I/O error, an invalid HTTP message, or a text if there is no underlying error.
 pub type TransportError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Why a request got no usable response.
+/// The reason why a request got no usable response.
 #[derive(Debug, Error)]
 pub enum HttpError {
-    /// No connection came about, so the request was certainly not received.
+    /// No connection could be opened, so the request was not received.
     #[error("not sent: {0}")]
     NotSent(#[source] TransportError),
-    /// The request may have been carried out, or may still be.
+    /// The outcome is unknown: the request may have been carried out, or may still be.
     #[error("no answer: {0}")]
     NoAnswer(#[source] TransportError),
 }
 
 impl HttpError {
-    /// Returns the reason alone, for errors that say themselves whether the request was sent.
+    /// Returns the reason without the prefix of this error, for enclosing errors that state themselves whether the
+    /// request was sent.
     pub fn reason(&self) -> &dyn fmt::Display {
         match self {
             HttpError::NotSent(reason) | HttpError::NoAnswer(reason) => reason,
@@ -44,7 +45,7 @@
 }
 
 impl Client {
-    /// Creates a client without connections.
+    /// Creates a client for `addr`. Connections are opened when needed.
     pub fn new(addr: SocketAddr) -> Client {
         Client {
             addr,
@@ -52,13 +53,13 @@
         }
     }
 
-    /// Sends one request and returns the status and the whole body of its response; `limit` covers connecting, sending and
-    /// reading.
+    /// Sends one request and returns the status and the whole body of its response. `limit` is the time allowed for
+    /// connecting, sending and reading together.
     ///
     /// # Errors
     ///
-    /// Fails with [`HttpError::NotSent`] where no connection came about, and with [`HttpError::NoAnswer`] where the
-    /// connection broke or the time ran out after that. An idle connection counts as connected.
+    /// Returns [`HttpError::NotSent`] if no connection could be opened, and [`HttpError::NoAnswer`] if the connection
+    /// failed or `limit` was exceeded after that. A request on a reused idle connection counts as sent.
     pub async fn call(
         &self,
         method: Method,
@@ -105,14 +106,15 @@
             .map_err(no_answer)?;
         let bytes = response.body_bytes().await.map_err(no_answer)?;
         let mut idle = self.idle.borrow_mut();
-        if !ends_connection(response.header(CONNECTION)) && idle.len() < MAX_IDLE {
+        if !ends_connection(response.header(CONNECTION)) && idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(stream);
         }
         Ok((response.status() as u16, bytes))
     }
 
-    /// Closes the idle connections: after a failure they are likely dead as well.
-    pub fn forget_idle(&self) {
+    /// Closes the idle connections. Called after a failed request, as the idle connections have probably failed as
+    /// well.
+    pub fn close_idle_connections(&self) {
         self.idle.borrow_mut().clear();
     }
 }
--- a/src/http/failure.rs
+++ b/src/http/failure.rs
@@ -1,37 +1,37 @@
-//! What a failed exchange with an outside service was caused by; the services' own errors say what it means for them.
+//! Causes of failed requests to external services. The error types of the services define what a cause means for them.
 
 use super::client::HttpError;
 use std::fmt;
 use thiserror::Error;
 
-/// What a refusal or a missing response was caused by.
+/// The cause of a refused request or a missing response.
 #[derive(Error)]
 pub enum FailureCause {
-    /// The service answered with this HTTP status.
+    /// The service responded with this HTTP status.
     #[error("status {0}")]
     Status(u16),
-    /// The connection failed. Whether the request was sent is said by the error around it.
+    /// The connection failed. The enclosing error states whether the request was sent.
     #[error("{}", .0.reason())]
     Transport(#[source] HttpError),
 }
 
-/// How a response breaks the protocol.
+/// The reason why a response is invalid.
 #[derive(Error)]
 pub enum MalformedResponse {
-    /// The body is not the JSON that was expected.
+    /// The body is not JSON, or not of the expected structure.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The status is none that the request can have.
+    /// The status is not one that this request can have.
     #[error("status {status} {body}")]
     Status {
-        /// The HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// The body, or the beginning of it, with replacement characters for what is not UTF-8.
+        /// The body or its beginning. Invalid UTF-8 is replaced by replacement characters.
         body: String,
     },
 }
 
-// Log lines print causes with `{:?}`: as one quoted string.
+// `Debug` prints one quoted string, because log lines print causes with `{:?}`.
 
 impl fmt::Debug for FailureCause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -1,35 +1,35 @@
-//! Requests and responses as handlers see them.
+//! HTTP requests and responses as the handlers of the server receive and return them.
 
 use http_types::headers::{CONNECTION, CONTENT_TYPE};
 use http_types::{Method, Response, StatusCode};
 use serde::Serialize;
 
-/// A request with its whole body.
+/// An HTTP request with its complete body.
 pub struct HttpRequest {
-    /// The method.
+    /// Request method.
     pub method: Method,
-    /// The path.
+    /// Path of the URL, without the query.
     pub path: String,
-    /// What follows the path after a question mark; empty where there is none.
+    /// Query of the URL, without the question mark. Empty if there is none.
     pub query: String,
-    /// The body, at most [`MAX_BODY`](crate::http::MAX_BODY) bytes.
+    /// Body, at most [`MAX_BODY`](crate::http::MAX_BODY) bytes.
     pub body: Vec<u8>,
 }
 
-/// A response.
+/// An HTTP response.
 #[derive(Debug, Clone)]
 pub struct HttpResponse {
-    /// The status.
+    /// Status code. An invalid one is sent as 500.
     pub status: u16,
-    /// The body: JSON or empty.
+    /// Body, either JSON or empty.
     pub body: Vec<u8>,
-    /// The value of `Retry-After`, in seconds.
+    /// Value of the `Retry-After` header, in seconds. `None` omits the header.
     pub retry_after: Option<u64>,
-    /// Whether the connection ends with this response.
+    /// Whether the server closes the connection after this response.
     pub close: bool,
 }
 
-/// The body of an error.
+/// JSON body of an error response.
 #[derive(Serialize)]
 struct ErrorBody<'a> {
     error: &'a str,
@@ -46,12 +46,12 @@
         }
     }
 
-    /// Creates an error whose body is `{"error": reason}`.
+    /// Creates an error response with the body `{"error": reason}`.
     pub fn error(status: u16, reason: &str) -> HttpResponse {
         HttpResponse::json(status, &ErrorBody { error: reason })
     }
 
-    /// Creates an error that asks the client to come back after so many seconds.
+    /// Creates an error response that asks the client to retry after `seconds`.
     pub fn retry_later(status: u16, reason: &str, seconds: u64) -> HttpResponse {
         HttpResponse {
             retry_after: Some(seconds),
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Serves one connection.
+//! HTTP server for one connection.
 
 use crate::clock::Clock;
 use crate::futures::timeout;
@@ -13,44 +13,49 @@
 use http_types::{Method, Request};
 use std::future::Future;
 
-/// The largest request body that the protocol allows, in bytes.
+/// Maximum size of a request body that the protocol allows, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
-/// The largest request head, in bytes, with room for the chunk encoding of the body.
+/// Maximum size of a request head, in bytes, including the overhead of a chunked transfer encoding of the body.
 const MAX_HEAD: usize = 32 * 1024;
-/// How long a connection may take to send a request's head, and again its body.
+/// Timeout for reading the head of a request, and separately for reading its body.
 const READ_TIMEOUT: Micros = Micros::secs(10);
-/// How often an idle connection is checked against the idle limit, which may change meanwhile.
+/// Interval at which an idle connection is checked against the idle limit, which may change in the meantime.
 const IDLE_CHECK_INTERVAL: Micros = Micros::secs(10);
-/// How long a peer may take to read a response.
+/// Timeout for writing a response, which limits how slowly a client may read it.
 const WRITE_TIMEOUT: Micros = Micros::secs(10);
-/// Nobody waits longer for a response: a submission's user waits five seconds, all others less.
+/// Time after the start of a request beyond which its response is not sent. No client waits longer: the user who
+/// submits a job waits 5 s, all other clients less.
 pub(super) const RESPONSE_TIMEOUT: Micros = Micros::secs(5);
-/// Room for the head and a short body of a response, in bytes.
+/// Initial capacity of the response buffer, in bytes: enough for the head and a short body.
 const RESPONSE_CAPACITY: usize = 512;
 
-/// Serves one connection until it ends, idles for longer than `idle` returns at the moment, or breaks the protocol.
+/// Serves one connection until it is closed, is idle for longer than `idle_limit` returns at that time, or violates the
+/// protocol.
 ///
-/// Guards against: heads without an end (`BoundedStream`), bodies over the limit (refused before they are read), heads
-/// or bodies that trickle in (bounded time), readers that do not take their response (bounded time), responses from
-/// before a pause of this process, which by then are out of date (not sent).
-pub async fn serve<F, Fut>(stream: Stream, idle: impl Fn() -> Micros, handle: F)
+/// The server protects itself against:
+///
+/// - request heads of unlimited length: `BoundedStream` limits the bytes read;
+/// - bodies above the limit: they are rejected, before they are read if their length is declared;
+/// - clients that send a head or body slowly, or don't read their response: reading and writing have timeouts;
+/// - responses that were computed before a pause of this process and are out of date afterwards: they are not sent.
+pub async fn serve<F, Fut>(stream: Stream, idle_limit: impl Fn() -> Micros, handle: F)
 where
     F: Fn(HttpRequest) -> Fut,
     Fut: Future<Output = HttpResponse>,
 {
-    while wait_readable(&stream, &idle).await {
-        // On the heap, so that a connection takes this room only while it has a request: it is ten times what an idle one
-        // needs, and a controller may hold the workers of a whole fleet.
+    while wait_readable(&stream, &idle_limit).await {
+        // Boxed, so that a connection uses this memory only during a request. It is ten times the memory of an idle
+        // connection, and a controller may have connections to the workers of a whole fleet.
         if !Box::pin(serve_request(&stream, &handle)).await {
             return;
         }
     }
 }
 
-/// Waits for a request. Returns false if the connection ended or was idle for too long.
-async fn wait_readable(stream: &Stream, idle: &impl Fn() -> Micros) -> bool {
+/// Waits for a request. Returns `false` if the connection was closed or exceeded the idle limit.
+async fn wait_readable(stream: &Stream, idle_limit: &impl Fn() -> Micros) -> bool {
     let mut waited = Micros::ZERO;
-    while waited < idle() {
+    while waited < idle_limit() {
         if let Some(readable) = timeout(IDLE_CHECK_INTERVAL, stream.wait_readable()).await {
             return readable.unwrap_or(false);
         }
@@ -59,7 +64,7 @@
     false
 }
 
-/// Reads one request and responds to it. Returns whether the connection can take another.
+/// Reads one request and responds to it. Returns whether the connection can be used for another request.
 async fn serve_request<F, Fut>(stream: &Stream, handle: &F) -> bool
 where
     F: Fn(HttpRequest) -> Fut,
@@ -71,16 +76,16 @@
     let mut request = match decoded {
         Some(Ok(Some((request, _)))) => request,
         Some(Err(_)) => {
-            let refusal = HttpResponse::error(400, "malformed request");
-            send(stream, refusal, Method::Get).await;
+            let error_response = HttpResponse::error(400, "malformed request");
+            send(stream, error_response, Method::Get).await;
             return false;
         }
         Some(Ok(None)) | None => return false,
     };
     let method = request.method();
-    let is_last = ends_connection(request.header(CONNECTION));
+    let is_last_request = ends_connection(request.header(CONNECTION));
     let response = respond(&mut request, handle).await;
-    let close = response.close || is_last;
+    let close = response.close || is_last_request;
     let is_late = Clock.now().since(started_at) > RESPONSE_TIMEOUT;
     !is_late && send(stream, HttpResponse { close, ..response }, method).await && !close
 }
@@ -92,11 +97,11 @@
 {
     let body = match read_body(request).await {
         Ok(body) => body,
-        // The rest of the body is not read, so the connection can't take another request.
-        Err(refusal) => {
+        // The rest of the body is left unread, so the connection can't be used for another request.
+        Err(error_response) => {
             return HttpResponse {
                 close: true,
-                ..refusal
+                ..error_response
             };
         }
     };
@@ -110,7 +115,7 @@
     .await
 }
 
-/// Returns the body, or the response with which it is refused.
+/// Reads the body of a request. Returns the error response if the body is rejected.
 async fn read_body(request: &mut Request) -> Result<Vec<u8>, HttpResponse> {
     if request.len().is_some_and(|len| len > MAX_BODY) {
         return Err(HttpResponse::error(413, "body over 64 KiB"));
@@ -125,7 +130,7 @@
     }
 }
 
-/// Sends a response to a request with this method. Returns whether all of it was written in time.
+/// Sends the response to a request with this method. Returns whether it was written completely before the timeout.
 async fn send(stream: &Stream, response: HttpResponse, method: Method) -> bool {
     let mut encoder = Encoder::new(response.into_response(), method);
     let mut stream = stream.clone();
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -10,7 +10,8 @@
 use std::io;
 use std::time::Duration;
 
-// Guards against responses from before a pause: another controller may have sent something newer meanwhile.
+// A response computed before a pause of this process must not be sent after it, because another controller may have
+// sent newer information in the meantime.
 #[test]
 fn response_is_not_sent_after_its_client_has_given_up() {
     async_io::block_on(async {
@@ -34,12 +35,12 @@
                 serve(stream, || Micros::secs(60), handle).await;
             }
         };
-        let asking = async {
-            let ask = || client.call(Method::Get, "/ready", None, Micros::secs(30));
-            assert!(matches!(ask().await, Err(HttpError::NoAnswer(_))));
-            assert_eq!(ask().await.expect("an answer").0, 200);
+        let calls = async {
+            let call = || client.call(Method::Get, "/ready", None, Micros::secs(30));
+            assert!(matches!(call().await, Err(HttpError::NoAnswer(_))));
+            assert_eq!(call().await.expect("an answer").0, 200);
         };
-        future::zip(server, asking).await;
+        future::zip(server, calls).await;
     });
 }
 
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn refused_connection_is_an_error_of_a_request_not_sent() {
+fn refused_connection_is_reported_as_not_sent() {
     async_io::block_on(async {
         let listener = Listener::bind("127.0.0.1:0".parse().unwrap())
             .await
@@ -62,7 +63,7 @@
         let client = Client::new(listener.local_addr().unwrap());
         drop(listener);
         let result = client.call(Method::Get, "/ready", None, Micros::secs(30));
-        let error = result.await.expect_err("nobody listens");
+        let error = result.await.expect_err("no listener");
         assert!(matches!(error, HttpError::NotSent(_)), "{error:?}");
         assert_eq!(
             error.to_string(),
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn connection_that_ends_without_a_response_is_an_error_of_a_request_perhaps_received() {
+fn connection_closed_before_the_response_is_reported_as_no_answer() {
     async_io::block_on(async {
         let listener = Listener::bind("127.0.0.1:0".parse().unwrap())
             .await
@@ -84,7 +85,7 @@
         let client = Client::new(listener.local_addr().unwrap());
         let server = async {
             let mut stream = listener.accept().await.unwrap();
-            // Read, as a connection that closes on unread bytes is reset.
+            // Reads the request, because closing a connection with unread bytes resets it.
             let len = stream.read(&mut [0; 1024]).await.unwrap();
             assert!(len > 0);
         };
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn timeout_returns_nothing_once_the_time_has_run_out() {
+fn timeout_returns_none_once_the_limit_has_passed() {
     async_io::block_on(async {
         let limit = Micros::millis(1);
         assert_eq!(timeout(limit, future::pending::<()>()).await, None);
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names of jobs, machines and tasks.
+//! Identifiers of jobs, machines and tasks.
 
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
@@ -20,35 +20,36 @@
 }
 
 id!(
-    /// A job's name, chosen by its user.
+    /// Id of a job, chosen by the user who submits it.
     JobId
 );
 id!(
-    /// A machine's name, chosen by the cloud.
+    /// Id of a machine, chosen by the cloud.
     MachineId
 );
 
 impl JobId {
-    /// A job id as users write it, `j-` and a few letters or digits; anything else is not one.
+    /// Parses a job id: `j-` followed by 1 to 64 ASCII letters or digits. Returns `None` for any other text.
     pub fn parse(text: &str) -> Option<JobId> {
-        let rest = text.strip_prefix("j-")?;
-        let fine =
-            !rest.is_empty() && rest.len() <= 64 && rest.bytes().all(|b| b.is_ascii_alphanumeric());
-        fine.then(|| JobId(text.to_owned()))
+        let suffix = text.strip_prefix("j-")?;
+        let is_valid = !suffix.is_empty()
+            && suffix.len() <= 64
+            && suffix.bytes().all(|b| b.is_ascii_alphanumeric());
+        is_valid.then(|| JobId(text.to_owned()))
     }
 }
 
-/// One task of a job.
+/// Id of a task: its job and its index in the job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// Job to which the task belongs.
     pub job: JobId,
-    /// The task's number, from 0.
+    /// Index of the task in its job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// A task id as workers write it, `j-000412/3`.
+    /// Parses a task id in the form that workers send, such as `j-000412/3`. Returns `None` for any other text.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.split_once('/')?;
         Some(TaskId {
--- a/src/kv/client.rs
+++ b/src/kv/client.rs
@@ -90,7 +90,7 @@
             let took = Clock.now().since(sent_at);
             self.response_time.borrow_mut().observe(took);
         } else {
-            self.client.forget_idle();
+            self.client.close_idle_connections();
         }
         Response::classify(result)
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,9 @@
 //! ravenhead, a cluster scheduler whose controllers keep their state only in a state service.
 //!
-//! `docs/architecture.md` says where each duty lives and who owns which state; `docs/design.md` why it is so.
-//! Modules depend downwards only: program, composition (`controller`), duties, shared parts, state, the pure core, base.
+//! `docs/architecture.md` describes the responsibility of each module and the state that it owns; `docs/design.md`
+//! gives the reasons for the design. Modules depend only on modules of lower layers. The layers are, from the top: the
+//! program, composition (`controller`), the controller's duties, shared components, state, the core without I/O, and
+//! base types.
 
 #![warn(missing_docs)]
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: reads the command line and the settings, and runs a controller.
+//! The `ravenhead` program: reads the command line and the settings, and runs a controller.
 
 use async_executor::LocalExecutor;
 use clap::Parser;
@@ -11,14 +11,14 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-/// A controller ended by itself: it could not listen at its addresses.
+/// Exit code if the controller can't listen on one of its addresses.
 const EXIT_CANNOT_LISTEN: ExitCode = ExitCode::FAILURE;
-/// A settings file was refused. The command line's own errors end with the same code.
+/// Exit code for an invalid settings file. Command line errors have the same code.
 const EXIT_INVALID_SETTINGS: u8 = 2;
 
-/// The variable that sets the log level: error, info or debug.
+/// Environment variable that sets the log level: error, info or debug.
 const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
-/// The log level where the variable is not set or not understood.
+/// Log level if the variable is not set or has an invalid value.
 const DEFAULT_LOG_LEVEL: LevelFilter = LevelFilter::Info;
 
 /// A controller of the ravenhead cluster scheduler.
@@ -55,7 +55,7 @@
     }
 }
 
-/// Runs a controller until it ends.
+/// Runs a controller until it stops, and returns the exit code of the program.
 fn run(platform: Platform, settings: Settings) -> ExitCode {
     let ex = LocalExecutor::new();
     let controller = Rc::new(Controller::new(platform, settings));
@@ -77,7 +77,7 @@
     Ok((platform, settings))
 }
 
-/// Starts the log on standard error. The level asked for holds for this program; of its libraries only errors are logged.
+/// Starts logging to standard error. The requested level applies to this program; its libraries log only errors.
 fn start_log() {
     let requested = std::env::var(LOG_LEVEL_VARIABLE).unwrap_or_default();
     let level = parse_level(&requested);
@@ -100,7 +100,7 @@
     }
 }
 
-/// Writes a record as one line of `key=value` pairs, the level first.
+/// Writes a log record as one line of `key=value` pairs that begins with the level.
 fn write_record(out: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
     let level = record.level().as_str().to_lowercase();
     writeln!(out, "level={level} {}", record.args())
--- a/src/net.rs
+++ b/src/net.rs
@@ -1,7 +1,7 @@
-//! Connections: all of them are made and accepted through here, so that a test can carry them in memory.
+//! Network connections. All code connects and listens through this module, so that tests can use a network in memory.
 //!
-//! Outside tests they are TCP connections. A test puts a [`Transport`] of its own in place of TCP with
-//! [`use_transport`], for its thread only.
+//! Outside tests the connections are TCP connections. A test installs its own [`Transport`] for the current thread with
+//! [`use_transport`].
 
 use async_net::{TcpListener, TcpStream};
 use futures_lite::{AsyncRead, AsyncWrite, future};
@@ -14,91 +14,92 @@
 use std::sync::Arc;
 use std::task::{Context, Poll};
 
-/// What a read does with the bytes that it returns.
+/// Whether a read removes the bytes that it returns from the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadMode {
-    /// Takes them off the connection.
+    /// Removes the bytes from the connection.
     Consume,
-    /// Leaves them for the next read.
+    /// Leaves the bytes for the next read.
     Peek,
 }
 
-/// One end of a connection that is not TCP.
+/// One end of a connection of a [`Transport`].
 pub trait Duplex: Send + Sync {
-    /// Reads into `buf` and returns how many bytes; 0 at the end of the stream.
+    /// Reads into `buf` and returns the number of bytes read; 0 at the end of the stream.
     fn poll_read(
         &self,
         cx: &mut Context<'_>,
         buf: &mut [u8],
         mode: ReadMode,
     ) -> Poll<io::Result<usize>>;
-    /// Writes from `buf` and returns how many bytes.
+    /// Writes from `buf` and returns the number of bytes written.
     fn poll_write(&self, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>>;
-    /// Closes the direction of writing.
+    /// Closes the write direction of the connection.
     fn close(&self);
 }
 
-/// A listening socket that is not TCP.
+/// A listening socket of a [`Transport`].
 pub trait Acceptor {
-    /// Waits for the next connection.
+    /// Waits for the next incoming connection.
     fn accept(&self) -> Pin<Box<dyn Future<Output = io::Result<Stream>> + '_>>;
 }
 
-/// A network other than TCP: the seam by which tests carry, delay and cut connections themselves.
+/// A replacement for TCP, with which tests carry, delay and interrupt connections.
 pub trait Transport {
-    /// Connects to an address.
+    /// Opens a connection to an address.
     fn connect(&self, to: SocketAddr) -> Pin<Box<dyn Future<Output = io::Result<Stream>>>>;
-    /// Listens at an address.
+    /// Listens on an address.
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Acceptor>>;
 }
 
 thread_local! {
-    /// What this thread uses in place of TCP.
+    /// Transport of this thread; `None` is TCP.
     static TRANSPORT: RefCell<Option<Rc<dyn Transport>>> = const { RefCell::new(None) };
 }
 
-/// Makes this thread use another network; `None` is TCP.
+/// Sets the transport of this thread; `None` restores TCP.
 pub fn use_transport(transport: Option<Rc<dyn Transport>>) {
     TRANSPORT.set(transport);
 }
 
-fn substitute() -> Option<Rc<dyn Transport>> {
+fn transport() -> Option<Rc<dyn Transport>> {
     TRANSPORT.with_borrow(Clone::clone)
 }
 
-/// A connection. Clones share it.
+/// A connection. Clones refer to the same connection.
 #[derive(Clone)]
 pub enum Stream {
-    /// Over TCP.
+    /// A TCP socket.
     Tcp(TcpStream),
-    /// Over a [`Transport`] of a test.
+    /// A socket of a [`Transport`] that a test has installed.
     Substitute(Arc<dyn Duplex>),
 }
 
 impl Stream {
-    /// Connects to an address.
+    /// Opens a connection to an address.
     ///
     /// # Errors
     ///
-    /// Fails where nobody listens there or the address can't be reached.
+    /// Returns an error if nothing listens on the address or it can't be reached.
     pub async fn connect(to: SocketAddr) -> io::Result<Stream> {
-        if let Some(transport) = substitute() {
+        if let Some(transport) = transport() {
             return transport.connect(to).await;
         }
         Ok(Stream::tcp(TcpStream::connect(to).await?))
     }
 
-    /// Requests and responses are short: waiting until a packet is full would only delay them.
+    /// Wraps a TCP connection and sets `TCP_NODELAY`: requests and responses are short, and waiting for a full packet
+    /// would only delay them.
     fn tcp(stream: TcpStream) -> Stream {
         let _ = stream.set_nodelay(true);
         Stream::Tcp(stream)
     }
 
-    /// Waits until something can be read, without taking it. Returns false at the end of the stream.
+    /// Waits until there is data to read, without consuming it. Returns `false` at the end of the stream.
     ///
     /// # Errors
     ///
-    /// Fails where the connection is broken.
+    /// Returns an error if the connection has failed.
     pub async fn wait_readable(&self) -> io::Result<bool> {
         let mut byte = [0u8; 1];
         let len = match self {
@@ -156,30 +157,30 @@
 
 /// A listening socket.
 pub enum Listener {
-    /// Over TCP.
+    /// A TCP socket.
     Tcp(TcpListener),
-    /// Over a [`Transport`] of a test.
+    /// A socket of a [`Transport`] that a test has installed.
     Substitute(Box<dyn Acceptor>),
 }
 
 impl Listener {
-    /// Listens at an address.
+    /// Listens on an address.
     ///
     /// # Errors
     ///
-    /// Fails where the address is taken or is not this machine's.
+    /// Returns an error if the address is in use or does not belong to this host.
     pub async fn bind(at: SocketAddr) -> io::Result<Listener> {
-        match substitute() {
+        match transport() {
             Some(transport) => Ok(Listener::Substitute(transport.listen(at)?)),
             None => Ok(Listener::Tcp(TcpListener::bind(at).await?)),
         }
     }
 
-    /// Returns the address, with the port that was chosen where 0 was asked for.
+    /// Returns the local address. Its port is the assigned one if the listener was bound to port 0.
     ///
     /// # Errors
     ///
-    /// Fails with [`io::ErrorKind::Unsupported`] where this is not a TCP socket.
+    /// Returns [`io::ErrorKind::Unsupported`] if this is not a TCP socket.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         match self {
             Listener::Tcp(tcp) => tcp.local_addr(),
@@ -187,11 +188,11 @@
         }
     }
 
-    /// Waits for the next connection.
+    /// Waits for the next incoming connection.
     ///
     /// # Errors
     ///
-    /// Fails where the process is out of sockets, or the connection ended before it was accepted.
+    /// Returns an error if the process has no free sockets, or the connection was closed before it was accepted.
     pub async fn accept(&self) -> io::Result<Stream> {
         match self {
             Listener::Tcp(tcp) => {
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -83,12 +83,12 @@
             return false;
         }
         if need.accelerators > 0 || !self.uses_accelerators() {
-            return self.free.holds(need);
+            return self.free.can_fit(need);
         }
         let accelerator_unit = Resources::new(0.0, 1.0, 0.0).accelerators.max(1);
         let withheld =
             accelerator_headroom.times((self.free.accelerators / accelerator_unit).max(0) as usize);
-        (self.free - withheld).holds(need)
+        (self.free - withheld).can_fit(need)
     }
 
     /// Returns the candidate's entry in the index of a kind. A search excludes a candidate whose entry is too small for
@@ -176,7 +176,7 @@
     pub(super) fn new(machines: &BTreeMap<MachineId, Machine>, smallest: &Resources) -> Candidates {
         let fitting = machines
             .iter()
-            .filter(|(_, m)| m.takes_offers() && m.free().holds(smallest));
+            .filter(|(_, m)| m.takes_offers() && m.free().can_fit(smallest));
         let machines: Vec<Candidate> = fitting.map(|(id, m)| Candidate::new(id, m)).collect();
         Candidates {
             index: Index::new(machines.len()),
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -176,7 +176,7 @@
                 self.count_free_places(&spec)
                     .saturating_sub(reserved_places)
             });
-            let own_free_places = m.free().count_of(&spec.need()).min(1_000);
+            let own_free_places = m.free().count_fitting(&spec.need()).min(1_000);
             let needed = m.reserved.len() + own_free_places;
             if remaining_places < needed || targets.reserved.contains_key(id) {
                 continue;
@@ -208,7 +208,7 @@
         self.machines
             .values()
             .filter(|m| m.takes_offers() && spec.allows(&m.machine_type, &m.zone, m.spot))
-            .map(|m| m.free().count_of(&spec.need()).min(1_000))
+            .map(|m| m.free().count_fitting(&spec.need()).min(1_000))
             .sum()
     }
 
@@ -269,7 +269,7 @@
         from_zone: &str,
     ) -> bool {
         m.takes_offers()
-            && m.free().holds(required)
+            && m.free().can_fit(required)
             && m.has_image(&job.spec.image)
             && job.allows(&m.machine_type, &m.zone, m.spot)
             && !job.failed_on.contains(id)
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -138,7 +138,7 @@
             .map(|m| &m.zone);
         let fits = |(machine_id, m): &(&MachineId, &Machine)| {
             m.takes_offers()
-                && m.total.holds(&need)
+                && m.total.can_fit(&need)
                 && !reserved.contains_key(*machine_id)
                 && !(spec.together && zone.is_some_and(|z| *z != m.zone))
                 && self.accepts(id, machine_id)
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -6,7 +6,7 @@
 use super::machine_type::MachineType;
 use super::reserve::Reserve;
 use super::{Scheduler, live_tasks};
-use crate::cloud_types::{Listed, ListedStatus};
+use crate::cloud_types::{ListedMachine, ListedStatus};
 use crate::ids::{MachineId, TaskId};
 use crate::units::{Micros, Resources};
 use ravenhead_recovery::Resolution;
@@ -227,7 +227,7 @@
     }
 
     /// Takes in the machine list, which lags, and of which the first page was requested at this time.
-    pub fn on_list(&mut self, list: &[Listed], asked_at: Micros) {
+    pub fn on_list(&mut self, list: &[ListedMachine], asked_at: Micros) {
         let lag = self.config.list_lag;
         self.fleet.listed = true;
         self.observe_list_in_rebuild(asked_at);
@@ -377,6 +377,6 @@
         if spec.shape == Shape::Service {
             room += m.reserved_below(spec.priority);
         }
-        room.count_of(&spec.need()).min(1_000)
+        room.count_fitting(&spec.need()).min(1_000)
     }
 }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -169,7 +169,7 @@
                 continue;
             };
             if !m.takes_offers()
-                || !m.total.holds(&need)
+                || !m.total.can_fit(&need)
                 || !self.accepts(id, machine)
                 || (with_image && !m.has_image(&spec.image))
             {
@@ -185,14 +185,14 @@
             let mut loss = Micros::ZERO;
             let mut stopped = Vec::new();
             for (lost_work, task) in victims {
-                if free.holds(&need) {
+                if free.can_fit(&need) {
                     break;
                 }
                 free += m.reserved[task];
                 loss = loss + lost_work;
                 stopped.push(task.clone());
             }
-            if !free.holds(&need) {
+            if !free.can_fit(&need) {
                 continue;
             }
             // On a machine without the image, the waiting task loses the time of the fetch.
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -76,7 +76,7 @@
 
     /// How many tasks of this size it takes, of so many.
     fn takes(&self, need: &Resources, wanted: usize) -> usize {
-        self.free.count_of(need).min(self.slots).min(wanted)
+        self.free.count_fitting(need).min(self.slots).min(wanted)
     }
 
     fn fill(&mut self, need: &Resources, tasks: usize) {
@@ -457,7 +457,7 @@
         let mut best: Option<((bool, f64, usize), Pool, Resources)> = None;
         for machine_type in self.machine_types.values() {
             let room = machine_type.resources();
-            let places = room.count_of(&need).min(1_000);
+            let places = room.count_fitting(&need).min(1_000);
             if places == 0 {
                 continue;
             }
--- a/src/scheduler/scenarios/failure_detection.rs
+++ b/src/scheduler/scenarios/failure_detection.rs
@@ -1,7 +1,7 @@
 //! Who is dead, and who only out of reach.
 
 use super::{Scenario, TOKEN, Worker, aborted, config, controller, later, runs, spec};
-use crate::cloud_types::{Listed, ListedStatus};
+use crate::cloud_types::{ListedMachine, ListedStatus};
 use crate::scheduler::{AgentCommand, ControllerStatus, ExitCause, JobId, MachineId};
 use crate::units::Micros;
 
@@ -76,7 +76,7 @@
 #[test]
 fn a_machine_missing_from_the_list_is_lost_only_when_the_list_cannot_be_too_old() {
     let mut t = Scenario::new(0.0);
-    let listed = |name: &str, age_s: f64| Listed {
+    let listed = |name: &str, age_s: f64| ListedMachine {
         machine: MachineId(name.into()),
         machine_type: "rig".into(),
         zone: "a".into(),
@@ -328,7 +328,7 @@
         "the cut has only just ended"
     );
     // One that the cloud says has failed is not waited for.
-    let listed = (0..10).map(|i| Listed {
+    let listed = (0..10).map(|i| ListedMachine {
         machine: MachineId(format!("m-{i}")),
         machine_type: "rig".into(),
         zone: "a".into(),
--- a/src/scheduler/scenarios/mod.rs
+++ b/src/scheduler/scenarios/mod.rs
@@ -371,7 +371,7 @@
     fn free_of(&self, name: &str) -> usize {
         self.s.machines[&MachineId(name.into())]
             .free()
-            .count_of(&spec("j-0", 1).need())
+            .count_fitting(&spec("j-0", 1).need())
     }
 }
 
--- a/src/scheduler/scenarios/recovery.rs
+++ b/src/scheduler/scenarios/recovery.rs
@@ -1,7 +1,7 @@
 //! New leaders and restarts.
 
 use super::{Scenario, TOKEN, aborted, later, runs, spec};
-use crate::cloud_types::{Listed, ListedStatus};
+use crate::cloud_types::{ListedMachine, ListedStatus};
 use crate::scheduler::{ExitCause, FleetPlan, JobId, JobSpec, MachineId, Pool, TaskState};
 use crate::units::Micros;
 
@@ -136,7 +136,7 @@
 fn a_new_leader_provisions_once_it_has_heard_what_is_up() {
     let mut t = Scenario::new(0.0);
     t.take_over(later(TOKEN, 1));
-    let up = Listed {
+    let up = ListedMachine {
         machine: MachineId("m-1".into()),
         machine_type: "rig".into(),
         zone: "a".into(),
@@ -349,7 +349,7 @@
     assert!(!t.s.check_rebuild(t.now));
     t.wait(20);
     t.beat_all();
-    let list = ["m-1", "m-2", "m-3"].map(|name| Listed {
+    let list = ["m-1", "m-2", "m-3"].map(|name| ListedMachine {
         machine: MachineId(name.into()),
         machine_type: "rig".into(),
         zone: "a".into(),
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,6 +1,6 @@
 //! Time in whole microseconds and resource amounts in whole millionths, so that sums are exact.
 //!
-//! Additions saturate: an absurd amount in a message must not end the process.
+//! Sums saturate, so that an extreme amount in a message can't cause an overflow that ends the process.
 
 use std::fmt;
 use std::ops::{Add, AddAssign, Sub, SubAssign};
@@ -24,8 +24,8 @@
         Micros(s * 1_000_000)
     }
 
-    /// Creates a duration from decimal seconds, rounded to the nearest microsecond. Negative numbers and NaN become zero; what
-    /// is too large becomes the greatest duration.
+    /// Creates a duration from decimal seconds, rounded to the nearest microsecond. Negative numbers and NaN become
+    /// zero; numbers above the range become the longest duration.
     pub fn from_secs_f64(s: f64) -> Micros {
         Micros((s.max(0.0) * 1e6).round() as u64)
     }
@@ -40,12 +40,12 @@
         self.0 / 1_000
     }
 
-    /// Returns the time from `other` to `self`, or zero where `other` is later.
+    /// Returns the time from `other` to `self`, or zero if `other` is later.
     pub const fn since(self, other: Micros) -> Micros {
         Micros(self.0.saturating_sub(other.0))
     }
 
-    /// Returns `self` times `num` over `den`, rounded down.
+    /// Returns `self * num / den`, rounded down.
     ///
     /// # Panics
     ///
@@ -74,57 +74,57 @@
     }
 }
 
-/// What a task takes of a machine, or what a machine has: each in millionths of its unit.
+/// Resources that a task needs or a machine has, in millionths of the unit of each.
 ///
-/// Whole numbers, as ten tasks of a tenth of a core must fill exactly one core.
+/// The amounts are integers, because ten tasks of 0.1 cores must fill exactly one core.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Resources {
-    /// Processor cores.
+    /// Processor cores, in millionths.
     pub cores: i64,
-    /// Accelerators.
+    /// Accelerators, in millionths.
     pub accelerators: i64,
-    /// Memory, in GB.
+    /// Memory, in millionths of a GB.
     pub memory: i64,
 }
 
 impl Resources {
-    /// Creates it from decimal amounts, as messages and settings have them; memory in GB.
+    /// Creates an amount of resources from the decimal numbers of messages and settings, with memory in GB.
     pub fn new(cores: f64, accelerators: f64, ram_gb: f64) -> Resources {
-        let whole = |x: f64| (x * 1e6).round() as i64;
+        let to_millionths = |x: f64| (x * 1e6).round() as i64;
         Resources {
-            cores: whole(cores),
-            accelerators: whole(accelerators),
-            memory: whole(ram_gb),
+            cores: to_millionths(cores),
+            accelerators: to_millionths(accelerators),
+            memory: to_millionths(ram_gb),
         }
     }
 
-    /// Returns cores, accelerators and memory, in this order.
+    /// Returns the amounts of cores, accelerators and memory, in this order.
     pub fn amounts(&self) -> [i64; 3] {
         [self.cores, self.accelerators, self.memory]
     }
 
-    /// Returns whether `need` fits into these resources.
-    pub fn holds(&self, need: &Resources) -> bool {
+    /// Returns whether none of the amounts of `need` exceeds that of `self`.
+    pub fn can_fit(&self, need: &Resources) -> bool {
         need.cores <= self.cores
             && need.accelerators <= self.accelerators
             && need.memory <= self.memory
     }
 
-    /// Returns how many tasks of `need` fit into these resources; `usize::MAX` where `need` is nothing.
-    pub fn count_of(&self, need: &Resources) -> usize {
-        let times = |have: i64, need: i64| {
+    /// Returns the number of tasks with the resources `need` that fit into `self`; `usize::MAX` if `need` is zero.
+    pub fn count_fitting(&self, need: &Resources) -> usize {
+        let fitting = |have: i64, need: i64| {
             if need <= 0 {
                 usize::MAX
             } else {
                 (have / need).max(0) as usize
             }
         };
-        times(self.cores, need.cores)
-            .min(times(self.accelerators, need.accelerators))
-            .min(times(self.memory, need.memory))
+        fitting(self.cores, need.cores)
+            .min(fitting(self.accelerators, need.accelerators))
+            .min(fitting(self.memory, need.memory))
     }
 
-    /// Returns the lesser amount of each resource.
+    /// Returns the smaller of the two amounts for each resource.
     pub fn min(&self, other: &Resources) -> Resources {
         Resources {
             cores: self.cores.min(other.cores),
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Returns `n` times these resources.
+    /// Returns `n` times the amount of each resource.
     pub fn times(&self, n: usize) -> Resources {
         let n = n as i64;
         Resources {
