--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -132,11 +132,12 @@
     /// Processors and memory that tasks without accelerators leave for each free accelerator, by the priority of these
     /// tasks, as of the last scheduling cycle.
     accelerator_headroom: BTreeMap<Priority, Resources>,
+
     /// Chunks to write, in descending order of priority.
-    dirty: BTreeSet<writes::ChunkPlace>,
+    dirty: BTreeSet<writes::QueuedChunk>,
     /// Chunks whose changes are deferred, to be written together with others of their job while few writes are
     /// possible.
-    deferred: writes::Deferred,
+    deferred: writes::DeferredChunks,
     finished: BTreeSet<JobId>,
     terminal: BTreeSet<JobId>,
     /// Machines whose cached images have yet to be written to the store.
@@ -187,7 +188,7 @@
             job_index: job_index::JobIndex::default(),
             accelerator_headroom: BTreeMap::new(),
             dirty: BTreeSet::new(),
-            deferred: writes::Deferred::default(),
+            deferred: writes::DeferredChunks::default(),
             finished: BTreeSet::new(),
             terminal: BTreeSet::new(),
             unwritten_images: BTreeSet::new(),
@@ -394,7 +395,7 @@
             if let Some(job) = self.jobs.get_mut(id)
                 && job.reservations.iter().any(|(m, _)| m == machine)
             {
-                job.next_try = Micros::ZERO;
+                job.next_offer_at = Micros::ZERO;
                 requeued.push(id.clone());
             }
         }
@@ -417,7 +418,7 @@
         let chunk = job.chunks.entry(index / CHUNK_SIZE).or_default();
         chunk.finished |= 1 << (index % CHUNK_SIZE);
         job.done += 1;
-        job.failures = 0;
+        job.consecutive_failures = 0;
         self.guarantees.mark_stale(&job.spec.team);
         self.job_index.update_waiting(job);
         if job.done == job.spec.tasks && !job.ending {
@@ -440,7 +441,7 @@
                 chunk.changed_at = self.last_event_at;
             }
             chunk.dirty = true;
-            let place = writes::ChunkPlace::new(job.spec.priority, id, number);
+            let place = writes::QueuedChunk::new(job.spec.priority, id, number);
             self.deferred.remove(&place);
             self.dirty.insert(place);
         }
@@ -449,7 +450,7 @@
     /// Makes a job with waiting tasks due at once.
     pub(super) fn requeue(&mut self, id: &JobId, now: Micros) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.next_try = job.next_try.min(now);
+            job.next_offer_at = job.next_offer_at.min(now);
             self.job_index.schedule(job);
         }
     }
