--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -133,7 +133,7 @@
     /// Teams with their quotas.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// Service level objectives by kind and job class.
+    /// Service level objectives of the deployment.
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Intervals and time limits of workers.
