--- a/src/kv/client.rs
+++ b/src/kv/client.rs
@@ -92,7 +92,7 @@
             let response_time = Clock.now().since(sent_at);
             self.retransmit_timer.borrow_mut().observe(response_time);
         } else {
-            self.client.forget_idle();
+            self.client.close_idle_connections();
         }
         Response::classify(result)
     }
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -6,7 +6,7 @@
 use super::machine_type::MachineType;
 use super::reserve::Reserve;
 use super::{Scheduler, live_tasks};
-use crate::cloud_types::{Listed, ListedStatus};
+use crate::cloud_types::{ListedMachine, ListedStatus};
 use crate::ids::{MachineId, TaskId};
 use crate::units::{Micros, Resources};
 use ravenhead_recovery::Resolution;
@@ -231,7 +231,7 @@
 
     /// Records a machine list. `requested_at` is the time when its first page was requested; the list may be out of
     /// date by the configured lag.
-    pub fn on_list(&mut self, list: &[Listed], requested_at: Micros) {
+    pub fn on_list(&mut self, list: &[ListedMachine], requested_at: Micros) {
         let lag = self.config.list_lag;
         self.fleet.is_list_read = true;
         self.observe_machine_list_in_rebuild(requested_at);
@@ -391,6 +391,6 @@
         if spec.shape == Shape::Service {
             available += m.reserved_below(spec.priority);
         }
-        available.count_of(&spec.need()).min(1_000)
+        available.count_fitting(&spec.need()).min(1_000)
     }
 }
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -86,7 +86,7 @@
 
     /// Returns how many of `wanted` tasks that need `need` each fit into this bin.
     fn capacity_for(&self, need: &Resources, wanted: usize) -> usize {
-        self.free.count_of(need).min(self.slots).min(wanted)
+        self.free.count_fitting(need).min(self.slots).min(wanted)
     }
 
     fn fill(&mut self, need: &Resources, tasks: usize) {
@@ -492,7 +492,7 @@
         let mut best: Option<((bool, f64, usize), Pool, Resources)> = None;
         for machine_type in self.machine_types.values() {
             let total = machine_type.resources();
-            let places = total.count_of(&need).min(1_000);
+            let places = total.count_fitting(&need).min(1_000);
             if places == 0 {
                 continue;
             }
