--- a/crates/index/src/by_kind.rs
+++ b/crates/index/src/by_kind.rs
@@ -1,12 +1,12 @@
-//! First fit among the slots of one kind.
+//! First-fit search restricted to the slots of one kind.
 
 use crate::FirstFit;
 
-/// First fit over the same slots for `K` kinds of them, each kind with a tree of its own that is built when it is first
-/// asked for.
+/// A first-fit index over slots that belong to one or more of `K` kinds, with a separate [`FirstFit`] tree for each kind.
+/// A tree is built when its kind is first searched.
 ///
-/// A flag among the amounts of one tree would not do: where full slots of the kind stand beside free slots of another, every
-/// range seems to have a free slot of the kind, and a search would look at all of them.
+/// A single tree that stores the kind as a further amount would be slow: where full slots of the kind are mixed with free
+/// slots of another kind, every range appears to contain a free slot of the kind, and a search would visit all slots.
 #[derive(Debug, Clone)]
 pub struct FirstFitByKind<const N: usize, const K: usize> {
     slots: usize,
@@ -14,10 +14,10 @@
 }
 
 impl<const N: usize, const K: usize> FirstFitByKind<N, K> {
-    /// The amounts of a slot that is not of a kind.
-    pub const ABSENT_KEY: [i64; N] = [i64::MIN; N];
+    /// The amounts to return for a slot that does not belong to a kind. A search for any larger amount skips it.
+    pub const ABSENT_AMOUNTS: [i64; N] = [i64::MIN; N];
 
-    /// So many slots, of which nothing is known yet.
+    /// Creates an index over `slots` slots. Amounts are read when a kind is first searched.
     pub fn new(slots: usize) -> FirstFitByKind<N, K> {
         FirstFitByKind {
             slots,
@@ -25,8 +25,10 @@
         }
     }
 
-    /// The first slot of a kind at or after `from` that has at least these amounts. `amounts` tells those of a slot as one
-    /// of the kind, for the case that the kind was not asked for before.
+    /// Returns the first slot of a kind at or after `from` that has at least `need` of each amount.
+    ///
+    /// `amounts` returns the amounts of a slot for this kind. It is called for every slot if the kind was not searched
+    /// before, and not at all otherwise.
     pub fn first_from(
         &mut self,
         kind: usize,
@@ -39,7 +41,7 @@
         tree.first_from(from, need)
     }
 
-    /// The amounts of a slot changed; `amounts` tells them for each kind.
+    /// Updates a slot; `amounts` returns the slot's amounts for a kind.
     pub fn set(&mut self, slot: usize, amounts: impl Fn(usize) -> [i64; N]) {
         for (kind, tree) in self.trees.iter_mut().enumerate() {
             if let Some(tree) = tree {
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Appends a slot; `amounts` tells its amounts for each kind.
+    /// Appends a slot; `amounts` returns the slot's amounts for a kind.
     pub fn push(&mut self, amounts: impl Fn(usize) -> [i64; N]) {
         self.slots += 1;
         for (kind, tree) in self.trees.iter_mut().enumerate() {
@@ -58,7 +60,7 @@
         }
     }
 
-    /// How many nodes searches have looked at so far, for tests that bound the work.
+    /// Returns the number of tree nodes visited by all searches so far. Tests use it to bound the work.
     pub fn visited(&self) -> u64 {
         self.trees.iter().flatten().map(FirstFit::visited).sum()
     }
--- a/crates/index/src/expiring_map.rs
+++ b/crates/index/src/expiring_map.rs
@@ -1,74 +1,76 @@
-//! A map whose entries are forgotten some time after they were written.
+//! A map whose entries expire a fixed time after they were written.
 
 use std::borrow::Borrow;
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// A map of entries that last for a while.
+/// A hash map with one time to live for all entries.
 ///
-/// Expired entries are never returned. They are removed by a sweep that runs at most once in a lifetime, so that an
-/// operation costs constant time on average, however many entries there are; at most those of two lifetimes are kept.
+/// Expired entries are never returned. They are removed by a sweep that runs at most once per lifetime, so that an
+/// operation takes amortized constant time regardless of the number of entries. The map holds at most the entries written
+/// within two lifetimes.
 #[derive(Debug, Clone)]
 pub struct ExpiringMap<K, V> {
     lifetime: u64,
     entries: HashMap<K, (u64, V)>,
-    swept_at: u64,
+    last_sweep_at: u64,
 }
 
 impl<K: Hash + Eq, V> ExpiringMap<K, V> {
-    /// An empty map whose entries last for `lifetime`, in the unit of the times that are passed in.
+    /// Creates an empty map whose entries expire after `lifetime`, in the unit of the times that callers pass in.
     pub fn new(lifetime: u64) -> ExpiringMap<K, V> {
         ExpiringMap {
             lifetime,
             entries: HashMap::new(),
-            swept_at: 0,
+            last_sweep_at: 0,
         }
     }
 
-    /// Writes an entry; returns the one before it, if that had not expired.
+    /// Inserts an entry and returns the previous value of the key, if it had not expired.
     pub fn insert(&mut self, key: K, value: V, now: u64) -> Option<V> {
         self.sweep(now);
-        let before = self.entries.insert(key, (now, value));
-        before
-            .filter(|(at, _)| self.lasts(*at, now))
+        let previous = self.entries.insert(key, (now, value));
+        previous
+            .filter(|(written_at, _)| self.is_live(*written_at, now))
             .map(|(_, value)| value)
     }
 
-    /// The entry and when it was written.
+    /// Returns an entry's value and the time at which it was written, or `None` if it is missing or expired.
     pub fn get<Q>(&self, key: &Q, now: u64) -> Option<(u64, &V)>
     where
         K: Borrow<Q>,
         Q: Hash + Eq + ?Sized,
     {
-        let (at, value) = self.entries.get(key)?;
-        self.lasts(*at, now).then_some((*at, value))
+        let (written_at, value) = self.entries.get(key)?;
+        self.is_live(*written_at, now)
+            .then_some((*written_at, value))
     }
 
-    /// All entries that have not expired, in no particular order.
+    /// Iterates over all entries that have not expired, in no particular order.
     pub fn iter(&self, now: u64) -> impl Iterator<Item = (&K, &V)> {
-        let lasting = self
+        let live = self
             .entries
             .iter()
-            .filter(move |(_, (at, _))| self.lasts(*at, now));
-        lasting.map(|(key, (_, value))| (key, value))
+            .filter(move |(_, (written_at, _))| self.is_live(*written_at, now));
+        live.map(|(key, (_, value))| (key, value))
     }
 
-    /// How many entries are held, expired ones included.
-    pub fn held(&self) -> usize {
+    /// Returns the number of entries in memory, including expired ones that are not yet removed.
+    pub fn stored_entries(&self) -> usize {
         self.entries.len()
     }
 
-    fn lasts(&self, at: u64, now: u64) -> bool {
-        now.saturating_sub(at) <= self.lifetime
+    fn is_live(&self, written_at: u64, now: u64) -> bool {
+        now.saturating_sub(written_at) <= self.lifetime
     }
 
     fn sweep(&mut self, now: u64) {
-        if now.saturating_sub(self.swept_at) <= self.lifetime {
+        if now.saturating_sub(self.last_sweep_at) <= self.lifetime {
             return;
         }
-        self.swept_at = now;
+        self.last_sweep_at = now;
         let lifetime = self.lifetime;
         self.entries
-            .retain(|_, (at, _)| now.saturating_sub(*at) <= lifetime);
+            .retain(|_, (written_at, _)| now.saturating_sub(*written_at) <= lifetime);
     }
 }
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -102,7 +102,7 @@
             Kind::UsesAccelerators => self.uses_accelerators(),
         };
         if !is_of_kind || self.tasks >= MAX_TASKS_PER_MACHINE {
-            return Index::ABSENT_KEY;
+            return Index::ABSENT_AMOUNTS;
         }
         self.free.amounts()
     }
@@ -130,7 +130,7 @@
         if has_image[i] {
             machines[i].amounts(kind)
         } else {
-            Index::ABSENT_KEY
+            Index::ABSENT_AMOUNTS
         }
     }
 
@@ -298,7 +298,8 @@
                 let with_image = image_index.and_then(|image_index| {
                     image_index.first_from(&self.machines, kind, from, &amounts)
                 });
-                let is_of_kind = |i: &usize| self.machines[*i].amounts(kind) != Index::ABSENT_KEY;
+                let is_of_kind =
+                    |i: &usize| self.machines[*i].amounts(kind) != Index::ABSENT_AMOUNTS;
                 let mut reserved = reserved.iter().copied().filter(|i| *i >= from);
                 let reserved = reserved.find(is_of_kind);
                 let i = with_image.into_iter().chain(reserved).min()?;
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -93,7 +93,7 @@
             Kind::OrdinarySoon => !self.later && !self.pool.spot,
         };
         if !is_of_kind || self.slots == 0 {
-            return Index::ABSENT_KEY;
+            return Index::ABSENT_AMOUNTS;
         }
         self.free.amounts()
     }
