--- a/crates/stand-ins/src/keys.rs
+++ b/crates/stand-ins/src/keys.rs
@@ -17,7 +17,7 @@
     /// Every request fails with status 500, which leaves its outcome unknown to the client.
     ResponsesLost,
     /// Every response is a JSON document without the expected fields.
-    MalformedResponses,
+    Malformed,
     /// Every watch starts at a revision that is compacted already, and fails with status 410.
     Compacted,
 }
@@ -232,8 +232,8 @@
         Some(FailureMode::Unavailable) => return HttpResponse::error(503, "unavailable"),
         Some(FailureMode::RateLimited) => return HttpResponse::error(429, "too many"),
         Some(FailureMode::ResponsesLost) => return HttpResponse::error(500, "response lost"),
-        Some(FailureMode::MalformedResponses) => {
-            return HttpResponse::json(200, &json!({"unexpected": [1]}));
+        Some(FailureMode::Malformed) => {
+            return HttpResponse::json(200, &json!({"x": [1]}));
         }
         Some(FailureMode::Compacted) if is_watch => return HttpResponse::error(410, "too old"),
         Some(FailureMode::Compacted) | None => {}
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -317,7 +317,7 @@
         FailureMode::Unavailable,
         FailureMode::RateLimited,
         FailureMode::ResponsesLost,
-        FailureMode::MalformedResponses,
+        FailureMode::Malformed,
         FailureMode::Compacted,
     ];
     for trouble in troubles {
