--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,8 +1,9 @@
-//! Reconciliation after a change of leader, or after every controller failed, and rebuilding after a loss of stored state.
+//! Reconciliation of recorded and reported tasks, recovery of a new leader, and rebuilding after a loss of stored state.
 //!
-//! Pure logic: what the state service holds and what workers report go in, a verdict for each task comes out. It has no
-//! I/O and no clock. The leader's scheduler calls it for every heartbeat, so that there is one reconciliation, in recovery and
-//! in ordinary service alike. `docs/recovery.md` has the choices behind it.
+//! Pure logic without I/O or a clock: it takes what the state service has recorded and what workers report, and returns a
+//! verdict for each task. The leader's scheduler calls it for every heartbeat, so that the same reconciliation runs in
+//! normal operation, after a change of leader and after a failure of all controllers. `docs/recovery.md` explains the
+//! design.
 
 #![warn(missing_docs)]
 
@@ -11,9 +12,9 @@
 mod rebuild;
 mod reconcile;
 
-pub use loss::{Evidence, Expected, Finding, KeyVersion, RevisionWatch, audit};
+pub use loss::{Evidence, ExpectedRevision, Finding, KeyVersion, RevisionTracker, audit};
 pub use progress::{Counts, Progress, Resolution, Summary};
-pub use rebuild::{Candidate, Restore, Stored, missing, rank, token_base};
+pub use rebuild::{Candidate, Restore, VersionedValue, rank, records_to_restore, token_base};
 pub use reconcile::{
     HeartbeatContext, HeartbeatPosition, JobState, Origin, RecordedTask, RecordedVerdict,
     ReportedState, UnrecordedTask, UnrecordedVerdict, reconcile_recorded, reconcile_unrecorded,
--- a/crates/recovery/src/loss.rs
+++ b/crates/recovery/src/loss.rs
@@ -1,54 +1,54 @@
-//! Evidence that the state service lost what it held, told from an outage, a stale view and a first start.
+//! Detection of lost state in the state service, as distinct from an outage, a stale view and a first start.
 //!
-//! The state service is consistent: a request that is sent after an answer was received can't be answered as of an earlier
-//! revision, and what a watch showed as written is there until a watch shows it as removed. Anything else is a loss. Silence,
-//! refusals and slow answers are evidence of nothing.
+//! The state service is linearizable: a request sent after a response was received can't be answered as of an earlier
+//! revision, and a key that a watch reported as written exists until a watch reports its removal. Any violation means that
+//! state was lost. Missing responses, refused requests and slow responses are no evidence of a loss.
 
 use std::fmt;
 
-/// Why stored state must have been lost.
+/// An observation that is only possible if stored state was lost.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Evidence {
-    /// An answer was older than one received before its request was sent.
+    /// A response had an older revision than one received before its request was sent.
     RevisionWentBack {
-        /// The revision known when the request was sent.
+        /// Highest revision known when the request was sent.
         known: u64,
-        /// The revision of the answer.
+        /// Revision of the response.
         found: u64,
     },
-    /// A key is gone that nobody removed.
+    /// A key is missing although no watch reported its removal.
     RecordGone {
-        /// The key.
+        /// The missing key.
         key: String,
-        /// The revision of its last change, as a watch showed it.
+        /// Revision of its last change, as reported by a watch.
         version: u64,
     },
-    /// A key has an older value than a watch showed.
+    /// A key has an older version than the one that a watch reported.
     RecordOlder {
-        /// The key.
+        /// The key with the older version.
         key: String,
-        /// The revision of its last change, as a watch showed it.
+        /// Revision of its last change, as reported by a watch.
         version: u64,
-        /// The revision of the value that is there.
+        /// Version found in the state service.
         found: u64,
     },
-    /// A key has a value that no watch showed, though it showed all changes up to later ones.
+    /// A key has a version that no watch reported, although watches have reported all changes up to a later revision.
     RecordUnseen {
-        /// The key.
+        /// The key with the unreported version.
         key: String,
-        /// The revision of its last change.
+        /// Version found in the state service.
         version: u64,
     },
-    /// Another controller has evidence.
+    /// Another controller announced that it has evidence of a loss.
     Claimed {
-        /// The controller.
+        /// Node name of that controller.
         by: String,
     },
-    /// Somebody knows a token that the state service could not have given by now.
+    /// A worker or controller has a fencing token that the state service can't have issued yet.
     TokenAhead {
-        /// The token.
+        /// The fencing token.
         token: u64,
-        /// The highest that can have been given.
+        /// Highest fencing token that can have been issued.
         possible: u64,
     },
 }
@@ -78,31 +78,34 @@
     }
 }
 
-/// What the answer to a request must not be older than.
+/// The lowest revision at which a request may be answered, as known when the request was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Expected {
+pub struct ExpectedRevision {
     revision: u64,
     epoch: u64,
 }
 
-/// The highest revision that one process saw, since the last loss.
+/// Tracks the highest revision that this process has seen since the last loss.
+///
+/// `epoch` counts the losses, so that responses to requests sent before a loss can be recognized.
 #[derive(Debug, Clone, Default)]
-pub struct RevisionWatch {
+pub struct RevisionTracker {
     highest: u64,
     epoch: u64,
 }
 
-impl RevisionWatch {
-    /// A request is about to be sent.
-    pub fn begin(&self) -> Expected {
-        Expected {
+impl RevisionTracker {
+    /// Returns the lowest revision at which a request that is sent now may be answered.
+    pub fn begin_request(&self) -> ExpectedRevision {
+        ExpectedRevision {
             revision: self.highest,
             epoch: self.epoch,
         }
     }
 
-    /// It was answered as of a revision. Answers to requests from before the last loss say nothing.
-    pub fn answered(&mut self, expected: Expected, found: u64) -> Option<Evidence> {
+    /// Records the revision of a response and returns evidence of a loss if it is lower than expected. Responses to
+    /// requests sent before the last loss are ignored.
+    pub fn check_response(&mut self, expected: ExpectedRevision, found: u64) -> Option<Evidence> {
         if expected.epoch != self.epoch {
             return None;
         }
@@ -116,54 +119,55 @@
         None
     }
 
-    /// A loss was found: revisions begin anew.
+    /// Restarts the comparison after a loss, as the state service may count revisions from 0 again.
     pub fn reset(&mut self) {
         self.highest = 0;
         self.epoch += 1;
     }
 }
 
-/// A key and the revision of its last change.
+/// A key and its version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeyVersion<'a> {
-    /// The key.
+    /// Full key, with its prefix.
     pub key: &'a str,
-    /// The revision of its last change.
+    /// Revision of its last change.
     pub version: u64,
 }
 
-/// What a comparison of keys found.
+/// The result of comparing the keys of a view with those listed by the state service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Finding {
-    /// Nothing but what the view has.
+    /// There is no difference, other than changes made after the listing.
     Same,
     /// Evidence of a loss.
     Lost(Evidence),
-    /// A key that the view lacks. It may have been removed since: if it is still there, and the view does not have it, it is
-    /// evidence as well.
+    /// The state service listed a key that the view does not have. The key may have been removed after the listing. If it
+    /// still exists and is still missing from the view, that is evidence of a loss.
     Unseen {
-        /// The key.
+        /// First such key in key order.
         key: String,
-        /// The revision of its last change.
+        /// Revision of its last change.
         version: u64,
     },
 }
 
-/// Compares the keys that a view has in a range, in their order, with those that the state service listed there as of a
-/// revision. The view must have all changes up to that revision at least.
+/// Compares the keys of a view in a key range with those that the state service listed there as of a revision.
+///
+/// Both must be in ascending key order. The view must have applied all changes up to `listed_at_revision` or later.
 pub fn audit<'a>(
     view: impl Iterator<Item = KeyVersion<'a>>,
     listed: impl Iterator<Item = KeyVersion<'a>>,
-    listed_at: u64,
+    listed_at_revision: u64,
 ) -> Finding {
     let mut listed = listed.peekable();
     let mut unseen = None;
     for known in view {
-        while let Some(other) = listed.next_if(|l| l.key < known.key) {
-            unseen.get_or_insert(other);
+        while let Some(extra) = listed.next_if(|l| l.key < known.key) {
+            unseen.get_or_insert(extra);
         }
         let found = listed.next_if(|l| l.key == known.key);
-        if let Some(evidence) = compare(&known, found.as_ref(), listed_at) {
+        if let Some(evidence) = compare(&known, found.as_ref(), listed_at_revision) {
             return Finding::Lost(evidence);
         }
     }
@@ -176,15 +180,21 @@
     }
 }
 
-fn compare(known: &KeyVersion<'_>, found: Option<&KeyVersion<'_>>, at: u64) -> Option<Evidence> {
+fn compare(
+    known: &KeyVersion<'_>,
+    found: Option<&KeyVersion<'_>>,
+    listed_at_revision: u64,
+) -> Option<Evidence> {
     let (key, version) = (known.key.to_owned(), known.version);
     match found {
-        None if version <= at => Some(Evidence::RecordGone { key, version }),
-        Some(found) if found.version < version && version <= at => Some(Evidence::RecordOlder {
-            key,
-            version,
-            found: found.version,
-        }),
+        None if version <= listed_at_revision => Some(Evidence::RecordGone { key, version }),
+        Some(found) if found.version < version && version <= listed_at_revision => {
+            Some(Evidence::RecordOlder {
+                key,
+                version,
+                found: found.version,
+            })
+        }
         Some(found) if found.version > version => Some(Evidence::RecordUnseen {
             key,
             version: found.version,
--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -1,81 +1,81 @@
-//! How far a new leader is in confirming what it found recorded.
+//! Progress of a new leader in confirming the tasks that it found recorded.
 
 use roaring::RoaringBitmap;
 use std::collections::BTreeMap;
 
-/// How a recorded task was confirmed, or what became of it.
+/// How a recorded task was resolved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Resolution {
-    /// Its worker reports it as recorded.
+    /// Its worker reports the recorded attempt as active.
     Agreed,
-    /// Its worker reports its end.
+    /// Its worker reports that it ended.
     Ended,
-    /// Its worker proved that it is not there.
+    /// A heartbeat of its worker proves that it is not on the machine.
     Gone,
-    /// Its machine went back, with everything on it.
+    /// Its machine was returned to the cloud provider, which ended all tasks on it.
     MachineReturned,
 }
 
-/// What a recovery found so far.
+/// Numbers of tasks that a recovery has resolved so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Recorded tasks that their workers report.
+    /// Recorded tasks whose worker reports the recorded attempt as active.
     pub agreed: u64,
-    /// Recorded tasks whose end was reported and not written.
+    /// Recorded tasks whose end was reported but not recorded.
     pub ended: u64,
-    /// Recorded tasks that are proven to be off their machine.
+    /// Recorded tasks that are proven not to be on their machine.
     pub gone: u64,
-    /// Recorded tasks that went with their machine.
+    /// Recorded tasks whose machine was returned to the cloud provider.
     pub machine_returned: u64,
-    /// Tasks that ran without a record and were taken over.
+    /// Tasks that ran without a recorded placement and were adopted.
     pub adopted: u64,
-    /// Tasks that had completed without a record.
+    /// Tasks that completed without a recorded placement and are recorded as finished.
     pub finished_unwritten: u64,
-    /// Tasks without a record that were told to stop.
+    /// Tasks without a recorded placement that are being stopped.
     pub stopped: u64,
 }
 
-/// A recovery that has ended.
+/// Summary of a completed recovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Summary {
-    /// Recorded tasks at its beginning.
+    /// Number of recorded tasks when the recovery started.
     pub recorded: u64,
-    /// What became of them, and what else was found.
+    /// Numbers of resolved tasks, with and without a recorded placement.
     pub counts: Counts,
-    /// Microseconds from its beginning to the last confirmation.
-    pub took: u64,
+    /// Microseconds from the start of the recovery until the summary was taken with no task unconfirmed.
+    pub duration_us: u64,
 }
 
-/// The recorded tasks that no heartbeat, and no return of their machine, has confirmed yet.
+/// The recorded tasks that neither a heartbeat nor the return of their machine has resolved yet.
 ///
-/// A task whose worker has not reported is unconfirmed, which is neither agreement nor disagreement.
+/// A task whose worker has not sent a heartbeat is unconfirmed: that is evidence neither for nor against the record.
 #[derive(Debug, Default)]
 pub struct Progress {
-    began: u64,
+    started_at: u64,
     recorded: u64,
     unconfirmed: BTreeMap<String, RoaringBitmap>,
-    left: u64,
+    unconfirmed_count: u64,
     counts: Counts,
-    is_told: bool,
+    summary_taken: bool,
 }
 
 impl Progress {
-    /// Begins at a time in microseconds with the recorded tasks: their jobs and numbers.
+    /// Starts a recovery at time `now`, in microseconds, with all recorded tasks as pairs of job id and task index.
     pub fn begin<'a>(recorded: impl Iterator<Item = (&'a str, u32)>, now: u64) -> Progress {
         let mut progress = Progress {
-            began: now,
+            started_at: now,
             ..Progress::default()
         };
         for (job, index) in recorded {
             let tasks = progress.unconfirmed.entry(job.to_owned()).or_default();
             progress.recorded += u64::from(tasks.insert(index));
         }
-        progress.left = progress.recorded;
+        progress.unconfirmed_count = progress.recorded;
         progress
     }
 
-    /// A recorded task was confirmed; only the first time counts.
-    pub fn resolve(&mut self, job: &str, index: u32, how: Resolution) {
+    /// Marks a recorded task as resolved. Only the first resolution of a task is counted.
+    pub fn resolve(&mut self, job: &str, index: u32, resolution: Resolution) {
         let Some(tasks) = self.unconfirmed.get_mut(job) else {
             return;
         };
@@ -85,8 +85,8 @@
         if tasks.is_empty() {
             self.unconfirmed.remove(job);
         }
-        self.left -= 1;
-        let count = match how {
+        self.unconfirmed_count -= 1;
+        let count = match resolution {
             Resolution::Agreed => &mut self.counts.agreed,
             Resolution::Ended => &mut self.counts.ended,
             Resolution::Gone => &mut self.counts.gone,
@@ -95,9 +95,9 @@
         *count += 1;
     }
 
-    /// A task without a record was found. Only what is found before the recovery has ended counts.
-    pub fn found(&mut self, verdict: crate::UnrecordedVerdict) {
-        if self.is_told {
+    /// Counts a task that was reported without a recorded placement, unless the summary was taken already.
+    pub fn count_unrecorded(&mut self, verdict: crate::UnrecordedVerdict) {
+        if self.summary_taken {
             return;
         }
         match verdict {
@@ -108,31 +108,31 @@
         }
     }
 
-    /// Recorded tasks that are not confirmed yet.
+    /// Returns the number of recorded tasks that are not resolved yet.
     pub fn unconfirmed(&self) -> u64 {
-        self.left
+        self.unconfirmed_count
     }
 
-    /// Whether the recovery is not ended, or its summary was not taken yet.
-    pub fn is_under_way(&self) -> bool {
-        !self.is_told
+    /// Returns whether the summary was not taken yet.
+    pub fn is_in_progress(&self) -> bool {
+        !self.summary_taken
     }
 
-    /// What was found so far.
+    /// Returns the numbers of tasks resolved so far.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// The summary, once: as soon as nothing is unconfirmed.
+    /// Returns the summary once all recorded tasks are resolved. Returns `None` before that and on every later call.
     pub fn take_summary(&mut self, now: u64) -> Option<Summary> {
-        if self.is_told || self.left > 0 {
+        if self.summary_taken || self.unconfirmed_count > 0 {
             return None;
         }
-        self.is_told = true;
+        self.summary_taken = true;
         Some(Summary {
             recorded: self.recorded,
             counts: self.counts,
-            took: now.saturating_sub(self.began),
+            duration_us: now.saturating_sub(self.started_at),
         })
     }
 }
--- a/crates/recovery/src/rebuild.rs
+++ b/crates/recovery/src/rebuild.rs
@@ -1,70 +1,75 @@
-//! Who rebuilds after a loss, from what, and what has to be written for it.
+//! Rebuilding after a loss of state: which controller rebuilds, which records it writes, and the next fencing tokens.
 
 use std::collections::BTreeMap;
 
-/// What a controller can rebuild from: its view as it was when the loss was found.
+/// A controller that can rebuild lost state from its snapshot, which is its view at the time when it detected the loss.
+///
+/// Candidates are ordered by their fields in declaration order; the greatest has the newest view.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Candidate {
-    /// The losses that were rebuilt before this view.
+    /// Number of losses that were rebuilt before the snapshot. Revisions are only comparable if it is equal.
     pub losses: u64,
-    /// The revision of the view.
+    /// Revision of the snapshot.
     pub revision: u64,
-    /// The controller, which decides among equals.
+    /// Node name of the controller, which breaks ties.
     pub node: String,
 }
 
-/// A candidate's place among all who told of theirs: the one with the newest view comes first, at 0. None where it is not
-/// among them.
+/// Returns the position of a candidate among all announced candidates, in descending order: 0 is the one with the newest
+/// view. Returns `None` if the candidate is not announced.
 pub fn rank(own: &Candidate, all: &[Candidate]) -> Option<usize> {
     let mut sorted: Vec<&Candidate> = all.iter().collect();
     sorted.sort_by(|a, b| b.cmp(a));
     sorted.iter().position(|c| *c == own)
 }
 
-/// A value with the revision of its last change.
+/// The value of a key together with its version.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Stored<V> {
-    /// The value.
+pub struct VersionedValue<V> {
+    /// Value of the key.
     pub value: V,
-    /// The revision of its last change.
+    /// Revision of the key's last change.
     pub version: u64,
 }
 
-/// A key to be restored.
+/// A write that restores one key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Restore<V> {
-    /// The key.
+    /// Key to restore.
     pub key: String,
-    /// The value that it had.
+    /// Value from the snapshot.
     pub value: V,
-    /// The version that it must have now, 0 where it must not exist.
-    pub replaces: u64,
+    /// Compare-and-set condition: the version that the key must have, or 0 if it must not exist.
+    pub expected_version: u64,
 }
 
-/// What has to be written so that everything in the snapshot is there again: keys that are missing, and keys that have an
+/// What has to be written so that everything in the snapshot is there again: keys that are records_to_restore, and keys that have an
 /// older value, in the order of the snapshot. Nothing is removed, and what is there and is not older stays, so that a
 /// snapshot of nothing lost, or an old one, changes nothing that is known better.
-pub fn missing<V: PartialEq>(
-    snapshot: impl IntoIterator<Item = (String, Stored<V>)>,
-    present: &BTreeMap<String, Stored<V>>,
+pub fn records_to_restore<V: PartialEq>(
+    snapshot: impl IntoIterator<Item = (String, VersionedValue<V>)>,
+    present: &BTreeMap<String, VersionedValue<V>>,
 ) -> Vec<Restore<V>> {
-    let lacks = |(key, known): (String, Stored<V>)| {
+    let to_restore = |(key, known): (String, VersionedValue<V>)| {
         let found = present.get(&key);
         if found.is_some_and(|found| found.version >= known.version || found.value == known.value) {
             return None;
         }
-        let replaces = found.map_or(0, |found| found.version);
+        let expected_version = found.map_or(0, |found| found.version);
         Some(Restore {
             key,
             value: known.value,
-            replaces,
+            expected_version,
         })
     };
-    snapshot.into_iter().filter_map(lacks).collect()
+    snapshot.into_iter().filter_map(to_restore).collect()
 }
 
-/// The base of the tokens after a loss: a token is the base plus the revision at which its leader was elected. It is above
-/// every token known, and above those of any earlier loss, whose base was an earlier time of day in microseconds.
+/// Returns the base for fencing tokens after a loss. A fencing token is the base plus the revision at which its leader was
+/// elected.
+///
+/// The base is `unix_time`, in microseconds, or one more than the highest known token if the clock is behind that. It
+/// exceeds every known token, and also tokens issued after earlier losses, whose base was an earlier time.
 pub fn token_base(unix_time: u64, highest_known: u64) -> u64 {
     unix_time.max(highest_known + 1)
 }
--- a/crates/recovery/src/reconcile.rs
+++ b/crates/recovery/src/reconcile.rs
@@ -1,84 +1,85 @@
-//! One task at a time: what a worker's heartbeat says of it, against what is recorded.
+//! Reconciles the recorded state of a single task with the state in a worker's heartbeat.
 
-/// Where a heartbeat stands among the messages of its machine; the larger is the newer.
+/// The position of a heartbeat in the sequence of its machine's messages. A greater position is newer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HeartbeatPosition {
-    /// The worker's agent epoch, which a lease that ran out ends.
+    /// Agent epoch of the worker. A new one starts after the worker's lease expired.
     pub agent_epoch: u64,
-    /// Rises with every message of a agent epoch.
+    /// Sequence number, which increases with every message of an agent epoch.
     pub sequence: u64,
 }
 
-/// What a heartbeat proves beyond its list of tasks.
+/// The properties of a heartbeat, besides its list of tasks, that reconciliation depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeartbeatContext {
-    /// Where it stands among its machine's messages.
+    /// Position in the sequence of the machine's messages.
     pub position: HeartbeatPosition,
-    /// Whether its worker has seen this leader's token, so that it drops the answers of earlier leaders.
-    pub shows_token: bool,
-    /// Whether the worker seems to get this leader's answers.
-    pub answers_arrive: bool,
+    /// Whether the worker has received this leader's fencing token, so that it rejects responses of earlier leaders.
+    pub has_leader_token: bool,
+    /// Whether the worker appears to receive this leader's responses.
+    pub responses_arrive: bool,
 }
 
-/// Which leader a recorded placement is from.
+/// The leader that made a recorded placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
-    /// An earlier one's: the command to start it may still be on its way.
+    /// An earlier leader. Its start command may still be in flight.
     EarlierLeader,
-    /// This one's; the heartbeat whose answer carried the command to start it, if one did.
+    /// The current leader.
     ThisLeader {
-        /// That report's position.
-        ordered_at: Option<HeartbeatPosition>,
+        /// Position of the heartbeat whose response carried the start command, or `None` if no response has carried it.
+        command_sent_at: Option<HeartbeatPosition>,
     },
 }
 
-/// A task that is recorded on the machine which reports.
+/// A task with a recorded placement on the machine that sent the heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RecordedTask {
-    /// Which leader placed it.
+    /// Leader that placed the task.
     pub origin: Origin,
-    /// Whether a heartbeat showed it there since this leader leads.
+    /// Whether the machine has reported the task since this leader was elected.
     pub was_reported: bool,
-    /// Whether it is being stopped.
+    /// Whether the leader is stopping the task.
     pub is_stopping: bool,
-    /// Whether its job still wants it.
-    pub is_wanted: bool,
+    /// Whether the task should run, which is the case until its job is cancelled or ends.
+    pub is_desired: bool,
 }
 
-/// A task's state in a heartbeat.
+/// The state of a task in a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedState {
-    /// On the machine, in whatever state before its end.
+    /// The task is on the machine and has not ended.
     Active,
-    /// Ended with its work done.
+    /// The task ended with its work done.
     Completed,
-    /// Ended otherwise: stopped, failed or refused.
+    /// The task ended without its work being done: it was stopped, failed or was refused by the worker.
     Ended,
 }
 
-/// What a heartbeat means for a task that is recorded on its machine.
+/// The result of reconciling a heartbeat with a task that has a recorded placement on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordedVerdict {
-    /// Both agree: it stays, and no command is sent.
+    /// Record and heartbeat agree. The placement is kept and no command is sent.
     Agrees,
-    /// It ended: the end is to be written, then the worker may forget it.
+    /// The task ended. Once the end is recorded, the worker may forget the task.
     Ended {
         /// Whether its work is done.
         completed: bool,
     },
-    /// Not reported, and nothing proves that it can't still appear: it is neither given up nor offered again.
+    /// The task is not reported, but may still start on the machine. The placement is kept and the task is not placed again.
     Unconfirmed,
-    /// The command to start it was lost: the same attempt may be ordered again.
-    OrderLost,
-    /// Proven to be off the machine: it may be offered again.
+    /// The start command was lost. It may be sent again for the same attempt.
+    CommandLost,
+    /// The task is proven not to be on the machine. It may be placed again.
     Gone,
 }
 
-/// Compares a task that is recorded on the reporting machine with its state in the heartbeat, if it is in there.
+/// Reconciles a recorded placement with a heartbeat of its machine. `reported` is `None` if the heartbeat does not contain
+/// the task.
 pub fn reconcile_recorded(
     recorded: &RecordedTask,
     reported: Option<ReportedState>,
-    report: &HeartbeatContext,
+    heartbeat: &HeartbeatContext,
 ) -> RecordedVerdict {
     match reported {
         Some(ReportedState::Active) => return RecordedVerdict::Agrees,
@@ -86,104 +87,107 @@
         Some(ReportedState::Ended) => return RecordedVerdict::Ended { completed: false },
         None => {}
     }
-    // Absence proves that a task is off its machine only if no command to start it can still arrive: an earlier leader's
-    // until the worker has seen this leader's token, this leader's until a heartbeat that is newer than the one whose answer
-    // carried the command.
-    let is_proven = match recorded.origin {
-        Origin::EarlierLeader => report.shows_token,
-        Origin::ThisLeader { ordered_at } => ordered_at.is_some_and(|at| report.position > at),
+    // Absence from a heartbeat proves that a task is not on the machine only if no start command for it can still arrive.
+    // A command of an earlier leader can arrive until the worker has received this leader's fencing token. A command of
+    // this leader can arrive until a heartbeat that is newer than the one whose response carried the command.
+    let is_absence_proven = match recorded.origin {
+        Origin::EarlierLeader => heartbeat.has_leader_token,
+        Origin::ThisLeader { command_sent_at } => {
+            command_sent_at.is_some_and(|at| heartbeat.position > at)
+        }
     };
-    if !is_proven {
+    if !is_absence_proven {
         return RecordedVerdict::Unconfirmed;
     }
-    let never_arrived = recorded.origin != Origin::EarlierLeader && !recorded.was_reported;
-    let still_wanted = recorded.is_wanted && !recorded.is_stopping;
-    if never_arrived && still_wanted && report.answers_arrive {
-        RecordedVerdict::OrderLost
+    let was_never_reported = recorded.origin != Origin::EarlierLeader && !recorded.was_reported;
+    let is_still_desired = recorded.is_desired && !recorded.is_stopping;
+    if was_never_reported && is_still_desired && heartbeat.responses_arrive {
+        RecordedVerdict::CommandLost
     } else {
         RecordedVerdict::Gone
     }
 }
 
-/// How far a job is, for a task that a machine reports without a record of it there.
+/// The state of the job of a task that a machine reports without a recorded placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobState {
-    /// Nothing is known of it.
+    /// There is no record of the job.
     Unknown,
-    /// It wants its tasks run.
-    Open,
-    /// It is done, cancelled or being ended.
-    Over,
+    /// The job's tasks should run.
+    Active,
+    /// The job is done, cancelled or being ended.
+    Ended,
 }
 
-/// A task that a machine reports though it is not recorded there with that attempt.
+/// A task that a machine reports without a recorded placement of that attempt on the machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnrecordedTask {
-    /// Its job.
+    /// State of the task's job.
     pub job: JobState,
-    /// Whether the job has a task of this number.
+    /// Whether the job has a task with this index.
     pub exists: bool,
-    /// Whether it is recorded as finished.
+    /// Whether the task is recorded as finished.
     pub is_finished: bool,
-    /// Whether another attempt of it is recorded, here or elsewhere.
-    pub other_attempt: bool,
-    /// Whether records may lack what was placed last, and this attempt is higher than the recorded one. It was given out
-    /// only on proof that the lower one was off its machine, so of the two it is the one that counts.
-    pub is_newer: bool,
+    /// Whether another attempt of the task has a recorded placement, on this or any other machine.
+    pub other_attempt_recorded: bool,
+    /// Whether the latest placements may be missing from the records after a loss of state, and this attempt is higher than
+    /// the recorded one. The higher attempt was only placed after the lower one was proven not to be on its machine, so it
+    /// takes precedence.
+    pub supersedes_recorded: bool,
 }
 
-/// What a heartbeat means for a task that is not recorded on its machine.
+/// The result of reconciling a task that is reported without a recorded placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnrecordedVerdict {
-    /// It completed and that was never written: the finish counts, whichever attempt it was.
+    /// The task completed, which is not recorded yet. It is recorded as finished, regardless of the attempt.
     FinishedUnwritten,
-    /// It ended and nothing follows from that: the worker may forget it.
+    /// The task ended and no action follows. The worker may forget it.
     Ended,
-    /// It runs, its job wants it and no other attempt is recorded, or after a loss only a lower one: taken over, since that
-    /// is what keeps it from being started twice, and loses no work.
+    /// The task is active, its job should run it, and no other attempt is recorded or, after a loss of state, only a lower
+    /// one. The running attempt is recorded as the task's placement, which prevents a second start and loses no work.
     Adopted,
-    /// Another attempt is recorded, which may run: this one is stopped.
+    /// Another attempt is recorded and may be running. The reported attempt is stopped.
     OtherAttempt,
-    /// Its result is recorded already: stopped.
+    /// The task is recorded as finished already. The reported attempt is stopped.
     AlreadyFinished,
-    /// Its job has ended or cancelled: stopped.
-    JobOver,
-    /// Nothing is known of its job, or the job has no such task: stopped.
+    /// The job has ended or was cancelled. The task is stopped.
+    JobEnded,
+    /// The job is unknown or has no such task. The task is stopped.
     Unknown,
 }
 
 impl UnrecordedVerdict {
-    /// Whether the worker is told to stop it.
+    /// Returns whether the worker has to stop the task.
     pub fn is_stopped(self) -> bool {
         matches!(
             self,
             UnrecordedVerdict::OtherAttempt
                 | UnrecordedVerdict::AlreadyFinished
-                | UnrecordedVerdict::JobOver
+                | UnrecordedVerdict::JobEnded
                 | UnrecordedVerdict::Unknown
         )
     }
 }
 
-/// Judges a task that a machine reports without a record of that attempt there.
+/// Decides what happens to a task that a machine reports without a recorded placement of that attempt.
 pub fn reconcile_unrecorded(task: &UnrecordedTask, reported: ReportedState) -> UnrecordedVerdict {
-    let is_open = task.job == JobState::Open && task.exists && !task.is_finished;
-    let wanted = is_open && (!task.other_attempt || task.is_newer);
+    let is_open = task.job == JobState::Active && task.exists && !task.is_finished;
+    let should_run = is_open && (!task.other_attempt_recorded || task.supersedes_recorded);
     match reported {
-        ReportedState::Completed if wanted => UnrecordedVerdict::FinishedUnwritten,
+        ReportedState::Completed if should_run => UnrecordedVerdict::FinishedUnwritten,
         ReportedState::Completed | ReportedState::Ended => UnrecordedVerdict::Ended,
-        ReportedState::Active if wanted => UnrecordedVerdict::Adopted,
-        ReportedState::Active => why_stopped(task),
+        ReportedState::Active if should_run => UnrecordedVerdict::Adopted,
+        ReportedState::Active => stop_verdict(task),
     }
 }
 
-/// Why a task that runs without being wanted there is stopped.
-fn why_stopped(task: &UnrecordedTask) -> UnrecordedVerdict {
+/// Returns the verdict for an active task that should not run on the machine.
+fn stop_verdict(task: &UnrecordedTask) -> UnrecordedVerdict {
     match task.job {
         JobState::Unknown => UnrecordedVerdict::Unknown,
-        JobState::Over => UnrecordedVerdict::JobOver,
-        JobState::Open if !task.exists => UnrecordedVerdict::Unknown,
-        JobState::Open if task.is_finished => UnrecordedVerdict::AlreadyFinished,
-        JobState::Open => UnrecordedVerdict::OtherAttempt,
+        JobState::Ended => UnrecordedVerdict::JobEnded,
+        JobState::Active if !task.exists => UnrecordedVerdict::Unknown,
+        JobState::Active if task.is_finished => UnrecordedVerdict::AlreadyFinished,
+        JobState::Active => UnrecordedVerdict::OtherAttempt,
     }
 }
--- a/crates/recovery/tests/loss.rs
+++ b/crates/recovery/tests/loss.rs
@@ -1,32 +1,32 @@
-//! What is evidence of a loss and what is not, and what is written to rebuild.
+//! Which observations are evidence of lost state, and which records are written to rebuild it.
 
 use ravenhead_recovery::{
-    Candidate, Evidence, Finding, KeyVersion, Restore, RevisionWatch, Stored, audit, missing, rank,
-    token_base,
+    Candidate, Evidence, Finding, KeyVersion, Restore, RevisionTracker, VersionedValue, audit,
+    rank, records_to_restore, token_base,
 };
 use std::collections::BTreeMap;
 
 #[test]
-fn only_an_answer_older_than_one_known_before_its_request_is_evidence() {
-    let mut watch = RevisionWatch::default();
-    let early = watch.begin();
-    assert_eq!(watch.answered(early, 40), None);
-    // Two requests side by side may be answered in any order.
-    let (one, other) = (watch.begin(), watch.begin());
-    assert_eq!(watch.answered(one, 45), None);
-    assert_eq!(watch.answered(other, 41), None);
-    let late = watch.begin();
+fn only_a_response_older_than_a_revision_known_at_its_request_is_evidence() {
+    let mut tracker = RevisionTracker::default();
+    let first = tracker.begin_request();
+    assert_eq!(tracker.check_response(first, 40), None);
+    // Concurrent requests may be answered in any order.
+    let (second, third) = (tracker.begin_request(), tracker.begin_request());
+    assert_eq!(tracker.check_response(second, 45), None);
+    assert_eq!(tracker.check_response(third, 41), None);
+    let fourth = tracker.begin_request();
     let evidence = Evidence::RevisionWentBack {
         known: 45,
         found: 3,
     };
-    assert_eq!(watch.answered(late, 3), Some(evidence));
-    // After the loss revisions count anew, and answers to requests from before say nothing.
-    let before = watch.begin();
-    watch.reset();
-    assert_eq!(watch.answered(before, 44), None);
-    let after = watch.begin();
-    assert_eq!(watch.answered(after, 4), None);
+    assert_eq!(tracker.check_response(fourth, 3), Some(evidence));
+    // After the loss, revisions restart and responses to requests sent before it are ignored.
+    let before = tracker.begin_request();
+    tracker.reset();
+    assert_eq!(tracker.check_response(before, 44), None);
+    let after = tracker.begin_request();
+    assert_eq!(tracker.check_response(after, 4), None);
 }
 
 fn keys<'a>(keys: &'a [(&'a str, u64)]) -> impl Iterator<Item = KeyVersion<'a>> {
@@ -37,9 +37,9 @@
 }
 
 #[test]
-fn a_comparison_of_keys_finds_what_is_gone_older_or_unseen_and_nothing_else() {
+fn audit_finds_missing_older_and_unseen_keys_only() {
     let view = [("a", 3), ("b", 9), ("c", 20), ("e", 5)];
-    // What changed after the page was read may differ.
+    // Keys that changed after the page was read may differ.
     let found = audit(keys(&view), keys(&[("a", 3), ("b", 9), ("e", 5)]), 15);
     assert_eq!(found, Finding::Same);
     let found = audit(keys(&view), keys(&[("a", 3), ("e", 5)]), 15);
@@ -69,12 +69,15 @@
             key: extra.into(),
             version: 7,
         };
-        assert_eq!(found, unseen, "it may have been removed since");
+        assert_eq!(
+            found, unseen,
+            "the key may have been removed since the listing"
+        );
     }
 }
 
 #[test]
-fn the_newest_view_goes_first_and_names_decide_among_equals() {
+fn newest_view_ranks_first_and_ties_are_broken_by_node_name() {
     let candidate = |losses, revision, node: &str| Candidate {
         losses,
         revision,
@@ -86,18 +89,18 @@
         candidate(1, 7, "n-2"),
         candidate(0, 42, "n-3"),
     ];
-    let places: Vec<Option<usize>> = all.iter().map(|c| rank(c, &all)).collect();
-    assert_eq!(places, [Some(3), Some(2), Some(0), Some(1)]);
+    let ranks: Vec<Option<usize>> = all.iter().map(|c| rank(c, &all)).collect();
+    assert_eq!(ranks, [Some(3), Some(2), Some(0), Some(1)]);
     assert_eq!(rank(&candidate(0, 99, "n-9"), &all), None);
 }
 
-fn stored(value: &'static str, version: u64) -> Stored<&'static str> {
-    Stored { value, version }
+fn stored(value: &'static str, version: u64) -> VersionedValue<&'static str> {
+    VersionedValue { value, version }
 }
 
-// Guards against a false alarm, or an old snapshot, that overwrites what is there.
+// Prevents a false detection of a loss, or an old snapshot, from overwriting newer records.
 #[test]
-fn what_is_missing_or_older_is_restored_and_nothing_that_is_newer() {
+fn missing_and_older_records_are_restored_and_newer_ones_kept() {
     let snapshot = [
         ("gone", stored("a", 30)),
         ("older", stored("b", 31)),
@@ -117,20 +120,24 @@
         Restore {
             key: "gone".into(),
             value: "a",
-            replaces: 0,
+            expected_version: 0,
         },
         Restore {
             key: "older".into(),
             value: "b",
-            replaces: 12,
+            expected_version: 12,
         },
     ];
-    assert_eq!(missing(snapshot, &present), expected);
+    assert_eq!(records_to_restore(snapshot, &present), expected);
 }
 
 #[test]
-fn tokens_after_a_loss_are_above_all_before_it() {
+fn tokens_after_a_loss_exceed_all_earlier_tokens() {
     let now = 1_800_000_000_000_000;
     assert_eq!(token_base(now, 5_000), now);
-    assert_eq!(token_base(now, now + 7), now + 8, "a clock that went back");
+    assert_eq!(
+        token_base(now, now + 7),
+        now + 8,
+        "a clock that was set back"
+    );
 }
--- a/crates/recovery/tests/recovery.rs
+++ b/crates/recovery/tests/recovery.rs
@@ -1,4 +1,5 @@
-//! Every combination of record and report that a new leader may meet, and the verdict on it.
+//! Reconciliation verdicts for the combinations of recorded and reported task state that a new leader can find, and the
+//! progress of a recovery.
 
 use ravenhead_recovery::{
     Counts, HeartbeatContext, HeartbeatPosition, JobState, Origin, Progress, RecordedTask,
@@ -6,25 +7,25 @@
     reconcile_recorded, reconcile_unrecorded,
 };
 
-const AT: HeartbeatPosition = HeartbeatPosition {
+const CURRENT: HeartbeatPosition = HeartbeatPosition {
     agent_epoch: 2,
     sequence: 7,
 };
-const BEFORE: HeartbeatPosition = HeartbeatPosition {
+const PREVIOUS: HeartbeatPosition = HeartbeatPosition {
     agent_epoch: 2,
     sequence: 6,
 };
-/// The sequence begins anew with a agent epoch.
-const NEXT_SESSION: HeartbeatPosition = HeartbeatPosition {
+/// The first heartbeat of the next agent epoch, in which sequence numbers restart.
+const NEXT_AGENT_EPOCH: HeartbeatPosition = HeartbeatPosition {
     agent_epoch: 3,
     sequence: 1,
 };
 
-fn report(position: HeartbeatPosition, shows_token: bool) -> HeartbeatContext {
+fn heartbeat(position: HeartbeatPosition, has_leader_token: bool) -> HeartbeatContext {
     HeartbeatContext {
         position,
-        shows_token,
-        answers_arrive: true,
+        has_leader_token,
+        responses_arrive: true,
     }
 }
 
@@ -33,22 +34,26 @@
         origin,
         was_reported: false,
         is_stopping: false,
-        is_wanted: true,
+        is_desired: true,
     }
 }
 
-fn ordered_at(position: HeartbeatPosition) -> Origin {
+fn commanded_in(position: HeartbeatPosition) -> Origin {
     Origin::ThisLeader {
-        ordered_at: Some(position),
+        command_sent_at: Some(position),
     }
 }
 
 #[test]
-fn what_is_reported_as_recorded_agrees_whoever_placed_it() {
-    for origin in [Origin::EarlierLeader, ordered_at(BEFORE)] {
-        for shows_token in [true, false] {
+fn reported_state_decides_regardless_of_which_leader_placed_the_task() {
+    for origin in [Origin::EarlierLeader, commanded_in(PREVIOUS)] {
+        for has_leader_token in [true, false] {
             let verdict = |state| {
-                reconcile_recorded(&recorded(origin), Some(state), &report(AT, shows_token))
+                reconcile_recorded(
+                    &recorded(origin),
+                    Some(state),
+                    &heartbeat(CURRENT, has_leader_token),
+                )
             };
             assert_eq!(verdict(ReportedState::Active), RecordedVerdict::Agrees);
             assert_eq!(
@@ -63,114 +68,122 @@
     }
 }
 
-// Guards against a task that starts in two places: the command of the leader before may arrive after this heartbeat.
+// Prevents a task from running on two machines: the previous leader's start command may arrive after this heartbeat.
 #[test]
-fn an_earlier_leaders_task_is_gone_only_once_the_worker_drops_that_leaders_answers() {
-    let inherited = recorded(Origin::EarlierLeader);
-    let absent = |shows_token| reconcile_recorded(&inherited, None, &report(AT, shows_token));
+fn absent_task_of_an_earlier_leader_is_gone_once_the_worker_has_the_new_token() {
+    let placed_by_earlier_leader = recorded(Origin::EarlierLeader);
+    let absent = |has_leader_token| {
+        reconcile_recorded(
+            &placed_by_earlier_leader,
+            None,
+            &heartbeat(CURRENT, has_leader_token),
+        )
+    };
     assert_eq!(absent(false), RecordedVerdict::Unconfirmed);
     assert_eq!(absent(true), RecordedVerdict::Gone);
 }
 
 #[test]
-fn an_own_task_is_gone_only_by_a_report_after_its_order() {
+fn absent_task_of_this_leader_is_gone_after_a_newer_heartbeat() {
     let absent = |at, position| {
-        let mut task = recorded(ordered_at(at));
+        let mut task = recorded(commanded_in(at));
         task.was_reported = true;
-        reconcile_recorded(&task, None, &report(position, true))
+        reconcile_recorded(&task, None, &heartbeat(position, true))
     };
-    assert_eq!(absent(AT, BEFORE), RecordedVerdict::Unconfirmed);
-    assert_eq!(absent(AT, AT), RecordedVerdict::Unconfirmed);
-    assert_eq!(absent(BEFORE, AT), RecordedVerdict::Gone);
-    assert_eq!(absent(AT, NEXT_SESSION), RecordedVerdict::Gone);
-    let never_ordered = recorded(Origin::ThisLeader { ordered_at: None });
+    assert_eq!(absent(CURRENT, PREVIOUS), RecordedVerdict::Unconfirmed);
+    assert_eq!(absent(CURRENT, CURRENT), RecordedVerdict::Unconfirmed);
+    assert_eq!(absent(PREVIOUS, CURRENT), RecordedVerdict::Gone);
+    assert_eq!(absent(CURRENT, NEXT_AGENT_EPOCH), RecordedVerdict::Gone);
+    let command_not_sent = recorded(Origin::ThisLeader {
+        command_sent_at: None,
+    });
     assert_eq!(
-        reconcile_recorded(&never_ordered, None, &report(AT, true)),
+        reconcile_recorded(&command_not_sent, None, &heartbeat(CURRENT, true)),
         RecordedVerdict::Unconfirmed
     );
 }
 
 #[test]
-fn a_lost_order_goes_out_again_unless_nobody_wants_it_or_answers_do_not_arrive() {
-    let task = recorded(ordered_at(BEFORE));
+fn lost_command_is_resent_only_if_task_is_desired_and_responses_arrive() {
+    let task = recorded(commanded_in(PREVIOUS));
     let verdict =
         |task: RecordedTask, context: HeartbeatContext| reconcile_recorded(&task, None, &context);
-    let context = report(AT, true);
-    assert_eq!(verdict(task, context), RecordedVerdict::OrderLost);
+    let context = heartbeat(CURRENT, true);
+    assert_eq!(verdict(task, context), RecordedVerdict::CommandLost);
     let stopping = RecordedTask {
         is_stopping: true,
         ..task
     };
-    let unwanted = RecordedTask {
-        is_wanted: false,
+    let no_longer_desired = RecordedTask {
+        is_desired: false,
         ..task
     };
     let reported = RecordedTask {
         was_reported: true,
         ..task
     };
-    for other in [stopping, unwanted, reported] {
+    for other in [stopping, no_longer_desired, reported] {
         assert_eq!(verdict(other, context), RecordedVerdict::Gone);
     }
-    let mute = HeartbeatContext {
-        answers_arrive: false,
+    let without_responses = HeartbeatContext {
+        responses_arrive: false,
         ..context
     };
-    assert_eq!(verdict(task, mute), RecordedVerdict::Gone);
+    assert_eq!(verdict(task, without_responses), RecordedVerdict::Gone);
 }
 
 #[test]
-fn what_runs_without_a_record_is_taken_over_only_where_no_other_attempt_can_run() {
-    let open = UnrecordedTask {
-        job: JobState::Open,
+fn unrecorded_task_is_adopted_only_if_no_other_attempt_can_run() {
+    let runnable = UnrecordedTask {
+        job: JobState::Active,
         exists: true,
         is_finished: false,
-        other_attempt: false,
-        is_newer: false,
+        other_attempt_recorded: false,
+        supersedes_recorded: false,
     };
     let cases = [
-        (open, UnrecordedVerdict::Adopted),
+        (runnable, UnrecordedVerdict::Adopted),
         (
             UnrecordedTask {
-                other_attempt: true,
-                ..open
+                other_attempt_recorded: true,
+                ..runnable
             },
             UnrecordedVerdict::OtherAttempt,
         ),
-        // After a loss the higher of two attempts is the one that counts.
+        // After a loss of state, the higher of two attempts takes precedence.
         (
             UnrecordedTask {
-                other_attempt: true,
-                is_newer: true,
-                ..open
+                other_attempt_recorded: true,
+                supersedes_recorded: true,
+                ..runnable
             },
             UnrecordedVerdict::Adopted,
         ),
         (
             UnrecordedTask {
                 is_finished: true,
-                ..open
+                ..runnable
             },
             UnrecordedVerdict::AlreadyFinished,
         ),
         (
             UnrecordedTask {
-                job: JobState::Over,
-                ..open
+                job: JobState::Ended,
+                ..runnable
             },
-            UnrecordedVerdict::JobOver,
+            UnrecordedVerdict::JobEnded,
         ),
         (
             UnrecordedTask {
                 job: JobState::Unknown,
-                ..open
+                ..runnable
             },
             UnrecordedVerdict::Unknown,
         ),
         (
             UnrecordedTask {
                 exists: false,
-                ..open
+                ..runnable
             },
             UnrecordedVerdict::Unknown,
         ),
@@ -180,30 +193,33 @@
         assert_eq!(verdict, expected, "{task:?}");
         assert_eq!(verdict.is_stopped(), expected != UnrecordedVerdict::Adopted);
         let completed = reconcile_unrecorded(&task, ReportedState::Completed);
-        let counts = expected == UnrecordedVerdict::Adopted;
-        assert_eq!(completed == UnrecordedVerdict::FinishedUnwritten, counts);
+        let finish_counts = expected == UnrecordedVerdict::Adopted;
+        assert_eq!(
+            completed == UnrecordedVerdict::FinishedUnwritten,
+            finish_counts
+        );
         let ended = reconcile_unrecorded(&task, ReportedState::Ended);
         assert_eq!(ended, UnrecordedVerdict::Ended);
     }
 }
 
 #[test]
-fn a_recovery_is_over_once_every_recorded_task_is_confirmed_and_says_so_once() {
+fn recovery_ends_with_one_summary_once_all_tasks_are_confirmed() {
     let recorded = [("j-1", 0), ("j-1", 1), ("j-2", 70_000), ("j-3", 0)];
     let mut progress = Progress::begin(recorded.into_iter(), 1_000);
     progress.resolve("j-1", 0, Resolution::Agreed);
     progress.resolve("j-1", 0, Resolution::Gone);
     progress.resolve("j-9", 0, Resolution::Agreed);
-    progress.found(UnrecordedVerdict::Adopted);
-    progress.found(UnrecordedVerdict::JobOver);
-    progress.found(UnrecordedVerdict::Ended);
+    progress.count_unrecorded(UnrecordedVerdict::Adopted);
+    progress.count_unrecorded(UnrecordedVerdict::JobEnded);
+    progress.count_unrecorded(UnrecordedVerdict::Ended);
     assert_eq!(progress.unconfirmed(), 3);
     assert_eq!(progress.take_summary(2_000), None);
     progress.resolve("j-1", 1, Resolution::Gone);
     progress.resolve("j-2", 70_000, Resolution::MachineReturned);
     progress.resolve("j-3", 0, Resolution::Ended);
     let summary = progress.take_summary(5_000).expect("all are confirmed");
-    assert_eq!((summary.recorded, summary.took), (4, 4_000));
+    assert_eq!((summary.recorded, summary.duration_us), (4, 4_000));
     let expected = Counts {
         agreed: 1,
         ended: 1,
@@ -215,5 +231,5 @@
     };
     assert_eq!(summary.counts, expected);
     assert_eq!(progress.take_summary(6_000), None);
-    assert!(!progress.is_under_way());
+    assert!(!progress.is_in_progress());
 }
--- a/crates/stand-ins/src/keys.rs
+++ b/crates/stand-ins/src/keys.rs
@@ -232,9 +232,7 @@
         Some(FailureMode::Unavailable) => return HttpResponse::error(503, "unavailable"),
         Some(FailureMode::RateLimited) => return HttpResponse::error(429, "too many"),
         Some(FailureMode::ResponsesLost) => return HttpResponse::error(500, "response lost"),
-        Some(FailureMode::Malformed) => {
-            return HttpResponse::json(200, &json!({"x": [1]}));
-        }
+        Some(FailureMode::Malformed) => return HttpResponse::json(200, &json!({"x": [1]})),
         Some(FailureMode::Compacted) if is_watch => return HttpResponse::error(410, "too old"),
         Some(FailureMode::Compacted) | None => {}
     }
--- a/src/kv/loss_detector.rs
+++ b/src/kv/loss_detector.rs
@@ -2,7 +2,7 @@
 
 use crate::revision::Revision;
 use event_listener::Event;
-use ravenhead_recovery::{Evidence, Expected, RevisionWatch};
+use ravenhead_recovery::{Evidence, ExpectedRevision, RevisionTracker};
 use std::cell::RefCell;
 
 /// Compares the revision of each response with those known when its request was sent, and holds the first evidence of a loss.
@@ -10,7 +10,7 @@
 /// Invariant: evidence is kept until it is taken, and taking it starts the comparison anew, so that one loss is found once.
 pub(super) struct LossDetector {
     enabled: bool,
-    revisions: RefCell<RevisionWatch>,
+    revisions: RefCell<RevisionTracker>,
     evidence: RefCell<Option<Evidence>>,
     found: Event,
 }
@@ -32,16 +32,19 @@
     }
 
     /// Returns what the response to a request that is sent now must not be older than.
-    pub fn expect(&self) -> Expected {
-        self.revisions.borrow().begin()
+    pub fn expect(&self) -> ExpectedRevision {
+        self.revisions.borrow().begin_request()
     }
 
     /// Takes in the revision of a response.
-    pub fn observe(&self, expected: Expected, revision: Revision) {
+    pub fn observe(&self, expected: ExpectedRevision, revision: Revision) {
         if !self.enabled {
             return;
         }
-        let evidence = self.revisions.borrow_mut().answered(expected, revision.0);
+        let evidence = self
+            .revisions
+            .borrow_mut()
+            .check_response(expected, revision.0);
         if let Some(evidence) = evidence {
             self.report(evidence);
         }
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -50,17 +50,17 @@
 
 impl Placement {
     /// The placement as reconciliation sees it.
-    pub fn as_recorded(&self, is_wanted: bool) -> RecordedTask {
-        let ordered_at = self.sent;
+    pub fn as_recorded(&self, is_desired: bool) -> RecordedTask {
+        let command_sent_at = self.sent;
         RecordedTask {
             origin: if self.inherited {
                 Origin::EarlierLeader
             } else {
-                Origin::ThisLeader { ordered_at }
+                Origin::ThisLeader { command_sent_at }
             },
             was_reported: self.reported_state.is_some(),
             is_stopping: self.stopping.is_some(),
-            is_wanted,
+            is_desired,
         }
     }
 }
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -30,8 +30,8 @@
         let reserved: Vec<TaskId> = m.reserved.keys().cloned().collect();
         let context = HeartbeatContext {
             position: r.position(),
-            shows_token: r.token == self.token,
-            answers_arrive: !m.is_suspect(),
+            has_leader_token: r.token == self.token,
+            responses_arrive: !m.is_suspect(),
         };
         self.count_steps(reserved.len() + r.tasks.len());
         let mut changed = false;
@@ -57,15 +57,15 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return false;
         };
-        let is_wanted = !job.ending;
+        let is_desired = !job.ending;
         let Some(p) = job.placement_mut(task.index) else {
             return false;
         };
-        let recorded = p.as_recorded(is_wanted);
+        let recorded = p.as_recorded(is_desired);
         let verdict = reconcile_recorded(&recorded, found.map(TaskStatus::outcome), context);
         if let Some(t) = found {
             p.reported_state = Some(t.state);
-            if context.shows_token {
+            if context.has_leader_token {
                 // The worker has seen this leader's token, so no command of an earlier leader can follow.
                 p.inherited = false;
                 p.sent = Some(context.position);
@@ -86,7 +86,7 @@
                 true
             }
             RecordedVerdict::Unconfirmed => false,
-            RecordedVerdict::OrderLost => {
+            RecordedVerdict::CommandLost => {
                 if let Some(p) = self.placement_mut(task) {
                     p.sent = None;
                 }
@@ -208,7 +208,7 @@
                 }
                 UnrecordedVerdict::OtherAttempt
                 | UnrecordedVerdict::AlreadyFinished
-                | UnrecordedVerdict::JobOver
+                | UnrecordedVerdict::JobEnded
                 | UnrecordedVerdict::Unknown => {
                     let need = self.jobs.get(&task.job).map(|j| j.spec.need());
                     extra.insert((task, t.attempt), need);
@@ -241,13 +241,14 @@
         UnrecordedTask {
             job: match job {
                 None => JobState::Unknown,
-                Some(job) if job.ending => JobState::Over,
-                Some(_) => JobState::Open,
+                Some(job) if job.ending => JobState::Ended,
+                Some(_) => JobState::Active,
             },
             exists: job.is_some_and(|j| task.index < j.spec.tasks),
             is_finished: job.is_some_and(|j| j.is_finished(task.index)),
-            other_attempt: recorded.is_some(),
-            is_newer: self.is_rebuilding() && recorded.is_some_and(|p| p.attempt < attempt),
+            other_attempt_recorded: recorded.is_some(),
+            supersedes_recorded: self.is_rebuilding()
+                && recorded.is_some_and(|p| p.attempt < attempt),
         }
     }
 
@@ -285,6 +286,6 @@
         RecordedVerdict::Agrees => Some(Resolution::Agreed),
         RecordedVerdict::Ended { .. } => Some(Resolution::Ended),
         RecordedVerdict::Gone => Some(Resolution::Gone),
-        RecordedVerdict::Unconfirmed | RecordedVerdict::OrderLost => None,
+        RecordedVerdict::Unconfirmed | RecordedVerdict::CommandLost => None,
     }
 }
--- a/src/scheduler/recovery.rs
+++ b/src/scheduler/recovery.rs
@@ -50,7 +50,7 @@
     /// A task without a placement was reported.
     pub(super) fn count_unrecorded(&mut self, verdict: UnrecordedVerdict) {
         if let Some(recovery) = &mut self.recovery {
-            recovery.progress.found(verdict);
+            recovery.progress.count_unrecorded(verdict);
         }
     }
 
@@ -63,7 +63,7 @@
             self.events.push(SchedulerEvent::RecoveryCompleted {
                 token: self.token,
                 recorded: summary.recorded,
-                after: Micros(summary.took),
+                after: Micros(summary.duration_us),
                 counts: summary.counts,
             });
             self.recovery = None;
--- a/src/state_loss/plan.rs
+++ b/src/state_loss/plan.rs
@@ -4,7 +4,7 @@
 use crate::revision::Revision;
 use crate::scheduler::{JobEnd, JobId, JobOutcome};
 use crate::store::{ArchivedEnd, StoreKey, View, encode};
-use ravenhead_recovery::{Restore, Stored, missing};
+use ravenhead_recovery::{Restore, VersionedValue, records_to_restore};
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -37,13 +37,13 @@
             .into_iter()
             .partition(|(id, _)| snapshot.jobs.contains_key(*id) || view.jobs.contains_key(*id));
         // Only ends that are not there are among these: whatever their version, there is nothing that they could replace.
-        let mut records: Vec<(String, Stored<Value>)> = of_records
+        let mut records: Vec<(String, VersionedValue<Value>)> = of_records
             .iter()
             .map(|(id, end)| new_record(&StoreKey::JobEnd((*id).clone()), end))
             .collect();
         records.extend(self.archives(number, &archived, &view));
         records.extend(snapshot.records(&view));
-        missing(records, &view.present())
+        records_to_restore(records, &view.present())
     }
 
     /// Ends in as few values as they fit into.
@@ -52,7 +52,7 @@
         number: u64,
         ends: &[(&JobId, JobEnd)],
         view: &View,
-    ) -> Vec<(String, Stored<Value>)> {
+    ) -> Vec<(String, VersionedValue<Value>)> {
         let value_bytes = self.limits.value_kb * 1024.0;
         let most = (value_bytes as usize / ARCHIVED_BYTES).max(1);
         // A rebuild that was cut off may have written some of this loss already.
@@ -76,7 +76,7 @@
 }
 
 /// A key that is written only where there is none: its version replaces nothing.
-fn new_record(key: &StoreKey, record: &impl Serialize) -> (String, Stored<Value>) {
+fn new_record(key: &StoreKey, record: &impl Serialize) -> (String, VersionedValue<Value>) {
     stored_record(key, record, Revision(1))
 }
 
@@ -85,11 +85,11 @@
     key: &StoreKey,
     record: &impl Serialize,
     version: Revision,
-) -> (String, Stored<Value>) {
+) -> (String, VersionedValue<Value>) {
     let value = encode(record);
     (
         key.to_string(),
-        Stored {
+        VersionedValue {
             value,
             version: version.0,
         },
@@ -132,8 +132,9 @@
 
 impl View {
     /// What a loss must not take away, ends aside: jobs and their runs, and machine types and provisioning requests that `now` lacks.
-    fn records(&self, now: &View) -> Vec<(String, Stored<Value>)> {
-        let mut records: Vec<(String, Stored<Value>)> = self.present().into_iter().collect();
+    fn records(&self, now: &View) -> Vec<(String, VersionedValue<Value>)> {
+        let mut records: Vec<(String, VersionedValue<Value>)> =
+            self.present().into_iter().collect();
         if let Some(types) = &self.machine_types
             && now.machine_types.is_none()
         {
@@ -149,7 +150,7 @@
     }
 
     /// What is stored of jobs and their runs.
-    fn present(&self) -> BTreeMap<String, Stored<Value>> {
+    fn present(&self) -> BTreeMap<String, VersionedValue<Value>> {
         let jobs = self.jobs.iter().map(|(id, job)| {
             let key = StoreKey::Job(id.clone());
             stored_record(&key, &job.value, job.version)
--- a/src/state_loss/restore.rs
+++ b/src/state_loss/restore.rs
@@ -58,7 +58,7 @@
             let done = [Restore {
                 key: StoreKey::Loss.to_string(),
                 value: encode(&record),
-                replaces: found.version.0,
+                expected_version: found.version.0,
             }];
             if self.write(lease, &done).await? {
                 return Ok(());
@@ -71,7 +71,7 @@
         let leader = StoreKey::Leader.has_version(lease.revision);
         let conditions = keys.iter().map(|restore| Condition {
             key: restore.key.clone(),
-            version: Revision(restore.replaces),
+            version: Revision(restore.expected_version),
         });
         let when: Vec<Condition> = conditions.chain([leader]).collect();
         let puts = keys
