--- a/crates/load/src/controller.rs
+++ b/crates/load/src/controller.rs
@@ -1,36 +1,38 @@
-//! The controller's process: its settings, and what it uses by the kernel's account.
+//! Runs the controller process under test: writes its settings and reads its resource usage from `/proc`.
 
-use crate::site::Places;
+use crate::site::ServiceAddresses;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 
-/// Clock ticks a second in `/proc`.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second, the unit of processor times in `/proc`.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// What a process has used so far.
+/// Resources that a process has used since it started.
 pub struct Usage {
-    /// Seconds of processor time.
+    /// Processor time in user and kernel mode, in seconds.
     pub processor_s: f64,
-    /// Largest memory held, in MB.
+    /// Peak resident memory in MiB, or NaN if the kernel does not report it.
     pub memory_mb: f64,
 }
 
-/// A running controller, ended with this value.
+/// A running controller process, which is killed when this value is dropped.
 pub struct Controller {
     process: Child,
-    /// Where users and workers reach it.
+    /// Address of its API for users and workers.
     pub bind: SocketAddr,
 }
 
 impl Controller {
-    /// Starts a controller with these outside systems.
+    /// Starts a controller that uses the state service and cloud at `addresses`.
+    ///
+    /// `sockets` is its limit of open sockets. `enable_rebuild` turns on rebuilding after a loss of state.
     pub fn start(
         program: &Path,
-        places: &Places,
+        addresses: &ServiceAddresses,
         sockets: usize,
-        rebuilds: bool,
+        enable_rebuild: bool,
     ) -> io::Result<Controller> {
         let bind = free_address()?;
         let settings = format!(
@@ -41,15 +43,15 @@
              [facts.cloud]\nrps = 10.0\nlist_lag_s = 6.0\n\
              [facts.machine_limits]\ncore_share = 0.3\nram_mb = 200.0\nmax_sockets = {sockets}\n",
             free_address()?,
-            places.cloud,
-            places.state,
-            crate::worker::REPORT_S,
+            addresses.cloud,
+            addresses.state,
+            crate::worker::HEARTBEAT_INTERVAL_S,
         );
         let path = std::env::temp_dir().join(format!("ravenhead-load-{}.toml", std::process::id()));
         std::fs::write(&path, settings)?;
         let mut command = Command::new(program);
         command.arg("--config").arg(&path);
-        if rebuilds {
+        if enable_rebuild {
             let settings = path.with_extension("xml");
             std::fs::write(&settings, "<ravenhead><rebuild>1</rebuild></ravenhead>")?;
             command.arg("--settings").arg(settings);
@@ -61,11 +63,12 @@
         Ok(Controller { process, bind })
     }
 
-    /// What it has used so far.
+    /// Returns the resources that the controller has used so far.
     pub fn usage(&self) -> io::Result<Usage> {
         let proc = format!("/proc/{}", self.process.id());
         let stat = std::fs::read_to_string(format!("{proc}/stat"))?;
-        // The fields after the name, which ends with the last parenthesis; times are the 14th and 15th of all.
+        // The process name may contain spaces and ends with the last parenthesis. User and kernel time are the 14th and
+        // 15th field of the line, and so the 12th and 13th after the name.
         let fields = stat.rsplit(')').next().unwrap_or_default();
         let ticks = fields.split_whitespace().skip(11).take(2);
         let ticks: f64 = ticks.filter_map(|t| t.parse::<f64>().ok()).sum();
@@ -73,7 +76,7 @@
         let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
         let kb = peak.and_then(|v| v.split_whitespace().next()?.parse::<f64>().ok());
         Ok(Usage {
-            processor_s: ticks / TICKS,
+            processor_s: ticks / TICKS_PER_SECOND,
             memory_mb: kb.unwrap_or(f64::NAN) / 1024.0,
         })
     }
@@ -86,7 +89,8 @@
     }
 }
 
-/// A loopback address with a port that is free just now; clients come from other loopback addresses.
+/// Returns a loopback address with a free port. Clients connect from other loopback addresses, so that their ephemeral
+/// ports can't take this one.
 fn free_address() -> io::Result<SocketAddr> {
     TcpListener::bind("127.0.7.1:0")?.local_addr()
 }
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,7 +1,7 @@
-//! Drives a real controller on loopback with thousands of stand-in workers, and measures it.
+//! Load generator: runs a real controller on loopback with thousands of simulated workers and measures it.
 //!
-//! Every figure is one of our own stand-ins on one machine: good for comparing versions, not for telling how many machines
-//! a deployment carries.
+//! The state service, the cloud and the workers are simulated on the same machine. The results are suitable for comparing
+//! versions, but not for predicting how many machines a deployment can manage.
 
 mod controller;
 mod measure;
@@ -20,39 +20,40 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Drives a real controller on loopback with stand-in workers.
+/// Measures a real controller on loopback under the load of simulated workers.
 #[derive(Parser)]
 #[command(version)]
 struct Args {
-    /// The controller's program.
+    /// Controller binary to measure.
     #[arg(long, value_name = "FILE", default_value = "target/release/ravenhead")]
     controller: PathBuf,
-    /// A second program, for example an earlier version, which is measured in the same way.
+    /// Second binary to measure for comparison, for example an earlier version.
     #[arg(long, value_name = "FILE")]
     before: Option<PathBuf>,
-    /// Numbers of workers.
+    /// Numbers of workers; each is measured in a separate run.
     #[arg(long, value_delimiter = ',', default_value = "500,1000,2000,4000")]
     workers: Vec<usize>,
-    /// Seconds that are measured, after as many of warming up.
+    /// Duration of the measurement in seconds, which follows a warm-up of the same length.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Arrays of 64 tasks that wait besides, for which no room ever gets free.
+    /// Number of additional low-priority arrays of 64 tasks, which stay queued as all resources are in use.
     #[arg(long, default_value_t = 0)]
     backlog: usize,
-    /// Lets the state service lose everything after the measurement, and measures the rebuilding; not for earlier versions.
+    /// Makes the state service lose all state after the measurement, and measures how long the rebuild takes. Can't be
+    /// combined with --before, as earlier versions may not support it.
     #[arg(long, conflicts_with = "before")]
     lose_state: bool,
-    /// The controller's limit of sockets.
+    /// Limit of open sockets in the controller's configuration.
     #[arg(long, default_value_t = 6_000)]
     sockets: usize,
-    /// Writes a report with plots to this file.
+    /// Writes an HTML report with plots to this file.
     #[arg(long, value_name = "FILE")]
     html: Option<PathBuf>,
 }
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    let mut all = Vec::new();
+    let mut measurements = Vec::new();
     for workers in &args.workers {
         let versions = [
             ("before", args.before.as_ref()),
@@ -63,7 +64,7 @@
             match run(&args, version, program, *workers) {
                 Ok(measurement) => {
                     println!("{measurement}");
-                    all.push(measurement);
+                    measurements.push(measurement);
                 }
                 Err(e) => {
                     eprintln!("ravenhead-load: {e}");
@@ -72,9 +73,9 @@
             }
         }
     }
-    measure::print_ratios(&all);
+    measure::print_ratios(&measurements);
     if let Some(path) = &args.html
-        && let Err(e) = report::write(path, &all)
+        && let Err(e) = report::write(path, &measurements)
     {
         eprintln!("ravenhead-load: {}: {e}", path.display());
         return ExitCode::FAILURE;
@@ -82,31 +83,32 @@
     ExitCode::SUCCESS
 }
 
-/// Measures one program with so many workers.
+/// Runs and measures one controller binary with the given number of workers.
 fn run(
     args: &Args,
     version: &str,
     program: &std::path::Path,
     workers: usize,
 ) -> std::io::Result<Measurement> {
-    let ex = Rc::new(LocalExecutor::new());
+    let executor = Rc::new(LocalExecutor::new());
     let site = Site::new(workers);
-    let second = Duration::from_secs(args.seconds);
-    async_io::block_on(ex.clone().run(async {
-        let places = site.listen(&ex).await?;
-        let controller = Controller::start(program, &places, args.sockets, args.lose_state)?;
-        site.start_workers(&ex, controller.bind);
-        site.submit_work(&ex, controller.bind, args.backlog).await;
-        Timer::after(second).await;
-        let began = controller.usage()?;
-        site.begin_measuring();
-        Timer::after(second).await;
-        let ended = controller.usage()?;
-        let measurement = site.measurement(version, args.seconds, &began, &ended);
+    let phase = Duration::from_secs(args.seconds);
+    async_io::block_on(executor.clone().run(async {
+        let addresses = site.listen(&executor).await?;
+        let controller = Controller::start(program, &addresses, args.sockets, args.lose_state)?;
+        site.start_workers(&executor, controller.bind);
+        site.submit_work(&executor, controller.bind, args.backlog)
+            .await;
+        Timer::after(phase).await;
+        let usage_before = controller.usage()?;
+        site.start_measurement();
+        Timer::after(phase).await;
+        let usage_after = controller.usage()?;
+        let measurement = site.measurement(version, args.seconds, &usage_before, &usage_after);
         if args.lose_state {
-            let rebuilt = site.lose_state().await;
+            let rebuild = site.lose_state().await;
             let memory_mb = controller.usage()?.memory_mb;
-            println!("workers={workers} {rebuilt} memory_mb={memory_mb:.1}");
+            println!("workers={workers} {rebuild} memory_mb={memory_mb:.1}");
         }
         Ok(measurement)
     }))
--- a/crates/load/src/measure.rs
+++ b/crates/load/src/measure.rs
@@ -1,78 +1,84 @@
-//! What a run measured, and how two versions compare.
+//! Results of a run, and the comparison of two versions.
 
 use crate::controller::Usage;
 use hdrhistogram::Histogram;
 use std::fmt;
 use std::time::Duration;
 
-/// What the stand-ins record.
+/// Records response times and requests during a measurement.
 pub struct Recorder {
-    /// Microseconds from a heartbeat to its answer.
-    answers: Histogram<u64>,
-    /// Requests to the state service.
+    /// Microseconds from sending a heartbeat to receiving its response.
+    response_times: Histogram<u64>,
+    /// Number of requests to the state service.
     pub state_requests: u64,
-    /// Puts and deletes.
+    /// Number of puts and deletes in transactions sent to the state service.
     pub state_changes: u64,
 }
 
 impl Recorder {
-    /// An empty one, for answers of up to a minute at three digits.
+    /// Creates an empty recorder for response times of up to one minute, with a precision of three significant digits.
     pub fn new() -> Recorder {
-        let answers = Histogram::new_with_bounds(1, 60_000_000, 3);
+        let response_times = Histogram::new_with_bounds(1, 60_000_000, 3);
         Recorder {
-            answers: answers.expect("bounds that a histogram can have"),
+            response_times: response_times.expect("histogram bounds are valid"),
             state_requests: 0,
             state_changes: 0,
         }
     }
 
-    /// A heartbeat was answered after this time.
-    pub fn report(&mut self, took: Duration) {
-        self.answers.saturating_record(took.as_micros() as u64);
+    /// Records the time that the response to a heartbeat took.
+    pub fn record_response(&mut self, elapsed: Duration) {
+        self.response_times
+            .saturating_record(elapsed.as_micros() as u64);
     }
 }
 
-/// The figures of one run.
+/// The results of one run.
 pub struct Measurement {
-    /// Which version.
+    /// Measured version: `now` or, with `--before`, `before`.
     pub version: String,
     /// Number of workers.
     pub workers: usize,
-    /// Reports answered a second.
+    /// Heartbeats answered per second.
     pub reports_per_s: f64,
-    /// Milliseconds to an answer, at these percentiles.
-    pub answer_ms: [(f64, f64); 4],
-    /// Share of one processor core.
+    /// Percentiles of the heartbeat response time, as pairs of percentile and milliseconds.
+    pub response_ms: [(f64, f64); 4],
+    /// Processor time per second of measurement; 1.0 is one fully used core.
     pub processor: f64,
-    /// Largest memory in MB.
+    /// Peak resident memory in MiB since the start of the process.
     pub memory_mb: f64,
-    /// Requests to the state service a second.
+    /// Requests to the state service per second.
     pub state_requests_per_s: f64,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second.
     pub state_changes_per_s: f64,
 }
 
 const PERCENTILES: [f64; 4] = [50.0, 90.0, 99.0, 100.0];
 
 impl Measurement {
-    /// The figures of what was recorded within so many seconds.
+    /// Computes the results from what was recorded in `seconds`, and from the resource usage before and after.
     pub fn new(
         version: &str,
         workers: usize,
         seconds: u64,
         recorder: &Recorder,
-        began: &Usage,
-        ended: &Usage,
+        usage_before: &Usage,
+        usage_after: &Usage,
     ) -> Measurement {
         let seconds = seconds as f64;
-        let at = |p: f64| (p, recorder.answers.value_at_percentile(p) as f64 / 1e3);
+        let percentile_ms = |p: f64| {
+            (
+                p,
+                recorder.response_times.value_at_percentile(p) as f64 / 1e3,
+            )
+        };
         Measurement {
             version: version.to_owned(),
             workers,
-            reports_per_s: recorder.answers.len() as f64 / seconds,
-            answer_ms: PERCENTILES.map(at),
-            processor: (ended.processor_s - began.processor_s) / seconds,
-            memory_mb: ended.memory_mb,
+            reports_per_s: recorder.response_times.len() as f64 / seconds,
+            response_ms: PERCENTILES.map(percentile_ms),
+            processor: (usage_after.processor_s - usage_before.processor_s) / seconds,
+            memory_mb: usage_after.memory_mb,
             state_requests_per_s: recorder.state_requests as f64 / seconds,
             state_changes_per_s: recorder.state_changes as f64 / seconds,
         }
@@ -86,7 +92,7 @@
             "version={} workers={} reports_per_s={:.0}",
             self.version, self.workers, self.reports_per_s
         )?;
-        for (percentile, ms) in self.answer_ms {
+        for (percentile, ms) in self.response_ms {
             write!(f, " p{percentile:.0}_ms={ms:.1}")?;
         }
         write!(
@@ -97,19 +103,19 @@
     }
 }
 
-/// Prints how the later version compares with the earlier one, where both were measured.
-pub fn print_ratios(all: &[Measurement]) {
-    for now in all.iter().filter(|m| m.version == "now") {
-        let same = |m: &&Measurement| m.version == "before" && m.workers == now.workers;
-        let Some(before) = all.iter().find(same) else {
+/// Prints the ratios of version `now` to version `before` for each number of workers at which both were measured.
+pub fn print_ratios(measurements: &[Measurement]) {
+    for now in measurements.iter().filter(|m| m.version == "now") {
+        let is_counterpart = |m: &&Measurement| m.version == "before" && m.workers == now.workers;
+        let Some(before) = measurements.iter().find(is_counterpart) else {
             continue;
         };
         println!(
             "now/before workers={} processor={:.2} p50={:.2} p99={:.2} memory={:.2} state_requests={:.2}",
             now.workers,
             now.processor / before.processor,
-            now.answer_ms[0].1 / before.answer_ms[0].1,
-            now.answer_ms[2].1 / before.answer_ms[2].1,
+            now.response_ms[0].1 / before.response_ms[0].1,
+            now.response_ms[2].1 / before.response_ms[2].1,
             now.memory_mb / before.memory_mb,
             now.state_requests_per_s / before.state_requests_per_s,
         );
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,4 +1,4 @@
-//! An HTML report with plots of the figures over the number of workers.
+//! An HTML report that plots the results over the number of workers.
 
 use crate::measure::Measurement;
 use plotters::prelude::*;
@@ -6,81 +6,81 @@
 use std::io;
 use std::path::Path;
 
-/// A figure to be plotted.
-struct Figure {
+/// A metric that is plotted.
+struct Metric {
     title: &'static str,
     value: fn(&Measurement) -> f64,
 }
 
-const FIGURES: [Figure; 5] = [
-    Figure {
+const METRICS: [Metric; 5] = [
+    Metric {
         title: "Processor, share of one core",
         value: |m| m.processor,
     },
-    Figure {
-        title: "Answer to a report, median in ms",
-        value: |m| m.answer_ms[0].1,
+    Metric {
+        title: "Heartbeat response time, median in ms",
+        value: |m| m.response_ms[0].1,
     },
-    Figure {
-        title: "Answer to a report, 99th percentile in ms",
-        value: |m| m.answer_ms[2].1,
+    Metric {
+        title: "Heartbeat response time, 99th percentile in ms",
+        value: |m| m.response_ms[2].1,
     },
-    Figure {
-        title: "Memory in MB",
+    Metric {
+        title: "Peak memory in MB",
         value: |m| m.memory_mb,
     },
-    Figure {
-        title: "Requests to the state service a second",
+    Metric {
+        title: "Requests to the state service per second",
         value: |m| m.state_requests_per_s,
     },
 ];
 
-/// Versions in the order in which they are drawn, with their colours.
+/// Versions in drawing order, with the color of their lines.
 const VERSIONS: [(&str, RGBColor); 2] = [("before", RED), ("now", BLUE)];
 
-/// Writes the report.
-pub fn write(path: &Path, all: &[Measurement]) -> io::Result<()> {
+/// Writes the report with one plot for each metric, followed by the results as text.
+pub fn write(path: &Path, measurements: &[Measurement]) -> io::Result<()> {
     let mut html = String::from(
         "<!doctype html><html><head><meta charset=\"utf-8\"><title>ravenhead under load</title></head><body>\n\
-         <h1>ravenhead under load</h1>\n<p>One controller on loopback against our own stand-ins on one machine; \
-         red: before, blue: now.</p>\n",
+         <h1>ravenhead under load</h1>\n<p>One controller on loopback with a simulated state service, cloud and \
+         workers on the same machine; red: before, blue: now.</p>\n",
     );
-    for figure in &FIGURES {
-        html.push_str(&plot(figure, all).map_err(io::Error::other)?);
+    for metric in &METRICS {
+        html.push_str(&plot(metric, measurements).map_err(io::Error::other)?);
     }
     html.push_str("<pre>\n");
-    for measurement in all {
+    for measurement in measurements {
         let _ = writeln!(html, "{measurement}");
     }
     html.push_str("</pre></body></html>\n");
     std::fs::write(path, html)
 }
 
-/// One plot as SVG.
-fn plot(figure: &Figure, all: &[Measurement]) -> Result<String, String> {
+/// Renders the plot of a metric as SVG.
+fn plot(metric: &Metric, measurements: &[Measurement]) -> Result<String, String> {
     let mut svg = String::new();
-    let most_workers = all.iter().map(|m| m.workers).max().unwrap_or(1);
-    let highest = all.iter().map(figure.value).fold(0.0, f64::max);
+    let max_workers = measurements.iter().map(|m| m.workers).max().unwrap_or(1);
+    let max_value = measurements.iter().map(metric.value).fold(0.0, f64::max);
     {
         let area = SVGBackend::with_string(&mut svg, (520, 320)).into_drawing_area();
-        let fail = |e: DrawingAreaErrorKind<std::io::Error>| e.to_string();
-        area.fill(&WHITE).map_err(fail)?;
+        let to_message = |e: DrawingAreaErrorKind<std::io::Error>| e.to_string();
+        area.fill(&WHITE).map_err(to_message)?;
         let mut chart = ChartBuilder::on(&area)
-            .caption(figure.title, ("sans-serif", 16))
+            .caption(metric.title, ("sans-serif", 16))
             .margin(10)
             .x_label_area_size(30)
             .y_label_area_size(50)
-            .build_cartesian_2d(0..most_workers, 0.0..highest * 1.1)
-            .map_err(fail)?;
+            .build_cartesian_2d(0..max_workers, 0.0..max_value * 1.1)
+            .map_err(to_message)?;
         let mut mesh = chart.configure_mesh();
-        mesh.x_desc("workers").draw().map_err(fail)?;
+        mesh.x_desc("workers").draw().map_err(to_message)?;
         for (version, colour) in VERSIONS {
-            let points = all.iter().filter(|m| m.version == version);
-            let points = points.map(|m| (m.workers, (figure.value)(m)));
+            let points = measurements.iter().filter(|m| m.version == version);
+            let points = points.map(|m| (m.workers, (metric.value)(m)));
             let line = LineSeries::new(points, colour.stroke_width(2));
-            chart.draw_series(line).map_err(fail)?;
+            chart.draw_series(line).map_err(to_message)?;
         }
-        area.present().map_err(fail)?;
+        area.present().map_err(to_message)?;
     }
     Ok(svg)
 }
--- a/crates/load/src/worker.rs
+++ b/crates/load/src/worker.rs
@@ -1,6 +1,6 @@
-//! A stand-in worker: reports, executes commands, and lets tasks of arrays end after their time.
+//! A simulated worker: sends heartbeats, executes commands, and ends tasks of arrays after their run time.
 
-use crate::site::{TASK_S, is_service};
+use crate::site::{TASK_DURATION_S, is_service};
 use async_io::Timer;
 use http_types::Method;
 use ravenhead::http::Client;
@@ -10,32 +10,32 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Seconds between two heartbeats.
-pub const REPORT_S: f64 = 2.0;
-/// How long a worker waits for an answer.
+/// Mean interval between heartbeats, in seconds. The worker varies it by a quarter in both directions.
+pub const HEARTBEAT_INTERVAL_S: f64 = 2.0;
+/// Maximum time to wait for the response to a heartbeat.
 const RESPONSE_TIMEOUT: Micros = Micros::secs(4);
 
-/// The name of the machine with this number.
-pub fn name(number: usize) -> String {
+/// Returns the name of a machine. Names sort in the order of the numbers up to 999,999.
+pub fn machine_name(number: usize) -> String {
     format!("m-{number:06}")
 }
 
-/// Its zone.
+/// Returns the zone of a machine; machines alternate between two zones.
 pub fn zone(number: usize) -> &'static str {
     ["a", "b"][number % 2]
 }
 
-/// A worker's memory.
+/// The state of one worker.
 pub struct Worker {
     number: usize,
     sequence: u64,
     token: u64,
-    /// When each task was started, and whether it has exited by command.
+    /// Tasks by id and attempt, with the start time and whether the task was stopped by a command.
     tasks: BTreeMap<(String, u64), (Instant, bool)>,
 }
 
 impl Worker {
-    /// A worker without tasks.
+    /// Creates a worker without tasks that has not received a fencing token yet.
     pub fn new(number: usize) -> Worker {
         Worker {
             number,
@@ -45,13 +45,14 @@
         }
     }
 
-    fn report(&mut self) -> Value {
+    fn heartbeat(&mut self) -> Value {
         self.sequence += 1;
         let tasks = self
             .tasks
             .iter()
-            .map(|((task, attempt), (began, stopped))| {
-                let completed = !is_service(task) && began.elapsed().as_secs_f64() >= TASK_S;
+            .map(|((task, attempt), (started, stopped))| {
+                let completed =
+                    !is_service(task) && started.elapsed().as_secs_f64() >= TASK_DURATION_S;
                 let (status, cause) = match (stopped, completed) {
                     (true, _) => ("exited", Some("halted")),
                     (false, true) => ("exited", Some("done")),
@@ -60,20 +61,20 @@
                 json!({"take": task, "try": attempt, "status": status, "cause": cause})
             });
         let tasks: Vec<Value> = tasks.collect();
-        json!({"host": name(self.number), "endpoint": "e", "rig": "g4", "yard": zone(self.number), "loaners": true,
+        json!({"host": machine_name(self.number), "endpoint": "e", "rig": "g4", "yard": zone(self.number), "loaners": true,
             "watch": 1, "tally": self.sequence, "warrant": self.token, "warningS": null, "takes": tasks})
     }
 
-    fn execute(&mut self, answer: &Value) {
-        let token = answer["warrant"].as_u64().unwrap_or(0);
+    fn execute(&mut self, response: &Value) {
+        let token = response["warrant"].as_u64().unwrap_or(0);
         if token < self.token {
             return;
         }
         self.token = token;
-        for order in answer["orders"].as_array().into_iter().flatten() {
-            let task = order["take"].as_str().unwrap_or_default().to_owned();
-            let key = (task, order["try"].as_u64().unwrap_or(0));
-            match order["verb"].as_str() {
+        for command in response["orders"].as_array().into_iter().flatten() {
+            let task = command["take"].as_str().unwrap_or_default().to_owned();
+            let key = (task, command["try"].as_u64().unwrap_or(0));
+            match command["verb"].as_str() {
                 Some("run") => {
                     self.tasks.entry(key).or_insert((Instant::now(), false));
                 }
@@ -90,29 +91,30 @@
     }
 }
 
-/// Reports for ever; `answered` is told how long each answered report took.
-pub async fn run(mut worker: Worker, controller: SocketAddr, answered: impl Fn(Duration)) {
-    // Workers do not report all at once.
-    pause(fastrand::f64() * REPORT_S).await;
+/// Sends heartbeats until the returned future is dropped. Calls `on_response` with the response time of each heartbeat that
+/// was answered.
+pub async fn run(mut worker: Worker, controller: SocketAddr, on_response: impl Fn(Duration)) {
+    // A random delay prevents all workers from sending heartbeats at the same time.
+    sleep(fastrand::f64() * HEARTBEAT_INTERVAL_S).await;
     let client = Client::new(controller);
     loop {
-        let body = Some(worker.report().to_string().into_bytes());
-        let sent = Instant::now();
-        let answer = client.call(Method::Post, "/checkin", body, RESPONSE_TIMEOUT);
-        match answer.await {
+        let body = Some(worker.heartbeat().to_string().into_bytes());
+        let sent_at = Instant::now();
+        let response = client.call(Method::Post, "/checkin", body, RESPONSE_TIMEOUT);
+        match response.await {
             Ok((200, bytes)) => {
-                answered(sent.elapsed());
+                on_response(sent_at.elapsed());
                 worker.execute(&serde_json::from_slice(&bytes).unwrap_or_default());
-                pause(REPORT_S * (0.75 + 0.5 * fastrand::f64())).await;
+                sleep(HEARTBEAT_INTERVAL_S * (0.75 + 0.5 * fastrand::f64())).await;
             }
             _ => {
                 client.forget_idle();
-                pause(1.0).await;
+                sleep(1.0).await;
             }
         }
     }
 }
 
-async fn pause(seconds: f64) {
+async fn sleep(seconds: f64) {
     Timer::after(Duration::from_secs_f64(seconds)).await;
 }
--- a/crates/recovery/src/rebuild.rs
+++ b/crates/recovery/src/rebuild.rs
@@ -43,9 +43,11 @@
     pub expected_version: u64,
 }
 
-/// What has to be written so that everything in the snapshot is there again: keys that are records_to_restore, and keys that have an
-/// older value, in the order of the snapshot. Nothing is removed, and what is there and is not older stays, so that a
-/// snapshot of nothing lost, or an old one, changes nothing that is known better.
+/// Returns the writes that restore the snapshot, in its order: one for each key that is missing and each key that has an
+/// older version with a different value.
+///
+/// No key is deleted, and keys whose version is at least as new are kept. An outdated snapshot, or one taken although
+/// nothing was lost, therefore overwrites no newer record.
 pub fn records_to_restore<V: PartialEq>(
     snapshot: impl IntoIterator<Item = (String, VersionedValue<V>)>,
     present: &BTreeMap<String, VersionedValue<V>>,
