--- a/crates/load/src/measure.rs
+++ b/crates/load/src/measure.rs
@@ -56,7 +56,7 @@
 const PERCENTILES: [f64; 4] = [50.0, 90.0, 99.0, 100.0];
 
 impl Measurement {
-    /// Computes the results from what was recorded in `seconds`, and from the resource usage before and after.
+    /// Computes the results of a measurement of `seconds` from its records and the resource usage before and after it.
     pub fn new(
         version: &str,
         workers: usize,
--- a/crates/recovery/src/reconcile.rs
+++ b/crates/recovery/src/reconcile.rs
@@ -9,7 +9,7 @@
     pub sequence: u64,
 }
 
-/// The properties of a heartbeat, besides its list of tasks, that reconciliation depends on.
+/// The properties of a heartbeat, other than its list of tasks, that reconciliation depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeartbeatContext {
     /// Position in the sequence of the machine's messages.
--- a/src/scheduler/reserve.rs
+++ b/src/scheduler/reserve.rs
@@ -81,7 +81,7 @@
         else {
             return false;
         };
-        let slack = |due: f64| Micros::from_secs_f64(due - spec.expect_s);
+        let slack = |due: f64| Micros::from_secs_f64(due - spec.expected_run_s);
         let starts_in_time = self.config.max_start_delay.get(&spec.class).copied();
         let ends_in_time = spec.due_s.map(slack);
         let min_slack = starts_in_time.into_iter().chain(ends_in_time).min();
@@ -98,7 +98,7 @@
             let unfinished_tasks = (job.spec.tasks - job.done) as usize;
             cores += job.spec.need().times(unfinished_tasks).cores;
             any_spot |= job.spec.spot;
-            any_on_demand |= !job.spec.spot || job.lost_on_spot;
+            any_on_demand |= !job.spec.spot || job.lost_work_on_spot;
         }
         if any_spot {
             self.demand.last_spot_at = Some(now);
@@ -113,7 +113,7 @@
     fn latency_sensitive_reserve(&self) -> Option<Reserve> {
         let is_counted = |j: &&Job| !j.ending && self.is_latency_sensitive(&j.spec);
         let jobs = || self.jobs.values().filter(is_counted);
-        let template = jobs().max_by_key(|j| j.at)?.spec.clone();
+        let template = jobs().max_by_key(|j| j.submitted_at)?.spec.clone();
         let typical_cores = self.demand.typical_cores()?;
         let running_cores: i64 = jobs()
             .map(|j| j.spec.need().times(j.live as usize).cores)
@@ -135,10 +135,10 @@
                 continue;
             }
             running_tasks += job.live;
-            if unix_time.saturating_sub(job.at) < ARRIVAL_WINDOW.0 {
+            if unix_time.saturating_sub(job.submitted_at) < ARRIVAL_WINDOW.0 {
                 recent_tasks += job.spec.tasks;
             }
-            if newest.is_none_or(|n| n.at < job.at) {
+            if newest.is_none_or(|n| n.submitted_at < job.submitted_at) {
                 newest = Some(job);
             }
         }
