--- a/src/kv/loss_detector.rs
+++ b/src/kv/loss_detector.rs
@@ -2,7 +2,7 @@
 
 use crate::revision::Revision;
 use event_listener::Event;
-use ravenhead_recovery::{Evidence, Expected, RevisionWatch};
+use ravenhead_recovery::{Evidence, ExpectedRevision, RevisionTracker};
 use std::cell::RefCell;
 
 /// Compares the revision of each response with the highest revision known when its request was sent, and keeps the
@@ -12,7 +12,7 @@
 /// once.
 pub(super) struct LossDetector {
     enabled: bool,
-    revisions: RefCell<RevisionWatch>,
+    revisions: RefCell<RevisionTracker>,
     evidence: RefCell<Option<Evidence>>,
     evidence_reported: Event,
 }
@@ -34,16 +34,19 @@
     }
 
     /// Returns the lower bound for the revision of the response to a request that is sent now.
-    pub fn expect(&self) -> Expected {
-        self.revisions.borrow().begin()
+    pub fn expect(&self) -> ExpectedRevision {
+        self.revisions.borrow().begin_request()
     }
 
     /// Compares the revision of a response with the bound that [`LossDetector::expect`] returned for its request.
-    pub fn observe(&self, expected: Expected, revision: Revision) {
+    pub fn observe(&self, expected: ExpectedRevision, revision: Revision) {
         if !self.enabled {
             return;
         }
-        let evidence = self.revisions.borrow_mut().answered(expected, revision.0);
+        let evidence = self
+            .revisions
+            .borrow_mut()
+            .check_response(expected, revision.0);
         if let Some(evidence) = evidence {
             self.report(evidence);
         }
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -31,8 +31,8 @@
         let reserved: Vec<TaskId> = m.reserved.keys().cloned().collect();
         let context = HeartbeatContext {
             position: heartbeat.position(),
-            shows_token: heartbeat.token == self.token,
-            answers_arrive: !m.is_inbound_suspect(),
+            has_leader_token: heartbeat.token == self.token,
+            responses_arrive: !m.is_inbound_suspect(),
         };
         self.count_steps(reserved.len() + heartbeat.tasks.len());
         let mut changed = false;
@@ -59,16 +59,16 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return false;
         };
-        let is_wanted = !job.ending;
+        let is_desired = !job.ending;
         let Some(p) = job.placement_mut(task.index) else {
             return false;
         };
-        let recorded = p.as_recorded(is_wanted);
+        let recorded = p.as_recorded(is_desired);
         let verdict =
             reconcile_recorded(&recorded, reported.map(TaskStatus::reported_state), context);
         if let Some(t) = reported {
             p.reported_state = Some(t.state);
-            if context.shows_token {
+            if context.has_leader_token {
                 // The worker has seen this leader's token, so it accepts no later command of an earlier leader.
                 p.inherited = false;
                 p.sent = Some(context.position);
@@ -89,7 +89,7 @@
                 true
             }
             RecordedVerdict::Unconfirmed => false,
-            RecordedVerdict::OrderLost => {
+            RecordedVerdict::CommandLost => {
                 if let Some(p) = self.placement_mut(task) {
                     p.sent = None;
                 }
@@ -212,7 +212,7 @@
                 }
                 UnrecordedVerdict::OtherAttempt
                 | UnrecordedVerdict::AlreadyFinished
-                | UnrecordedVerdict::JobOver
+                | UnrecordedVerdict::JobEnded
                 | UnrecordedVerdict::Unknown => {
                     let need = self.jobs.get(&task.job).map(|j| j.spec.need());
                     unexpected.insert((task, t.attempt), need);
@@ -245,13 +245,14 @@
         UnrecordedTask {
             job: match job {
                 None => JobState::Unknown,
-                Some(job) if job.ending => JobState::Over,
-                Some(_) => JobState::Open,
+                Some(job) if job.ending => JobState::Ended,
+                Some(_) => JobState::Active,
             },
             exists: job.is_some_and(|j| task.index < j.spec.tasks),
             is_finished: job.is_some_and(|j| j.is_finished(task.index)),
-            other_attempt: recorded.is_some(),
-            is_newer: self.is_rebuilding() && recorded.is_some_and(|p| p.attempt < attempt),
+            other_attempt_recorded: recorded.is_some(),
+            supersedes_recorded: self.is_rebuilding()
+                && recorded.is_some_and(|p| p.attempt < attempt),
         }
     }
 
@@ -289,6 +290,6 @@
         RecordedVerdict::Agrees => Some(Resolution::Agreed),
         RecordedVerdict::Ended { .. } => Some(Resolution::Ended),
         RecordedVerdict::Gone => Some(Resolution::Gone),
-        RecordedVerdict::Unconfirmed | RecordedVerdict::OrderLost => None,
+        RecordedVerdict::Unconfirmed | RecordedVerdict::CommandLost => None,
     }
 }
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -103,7 +103,7 @@
             Kind::OnDemandImmediate => !self.waits_for_tasks && !self.pool.spot,
         };
         if !is_of_kind || self.slots == 0 {
-            return Index::ABSENT_KEY;
+            return Index::ABSENT_AMOUNTS;
         }
         self.free.amounts()
     }
--- a/src/state_loss/plan.rs
+++ b/src/state_loss/plan.rs
@@ -4,7 +4,7 @@
 use crate::revision::Revision;
 use crate::scheduler::{JobEnd, JobId, JobOutcome};
 use crate::store::{ArchivedEnd, StoreKey, View, encode};
-use ravenhead_recovery::{Restore, Stored, missing};
+use ravenhead_recovery::{Restore, VersionedValue, records_to_restore};
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -38,15 +38,16 @@
         let (ends_of_recorded_jobs, archived): (Vec<_>, Vec<_>) = ends
             .into_iter()
             .partition(|(id, _)| snapshot.jobs.contains_key(*id) || view.jobs.contains_key(*id));
+
         // These are only ends that are not stored, so their version does not matter: there is nothing they could
         // replace.
-        let mut records: Vec<(String, Stored<Value>)> = ends_of_recorded_jobs
+        let mut records: Vec<(String, VersionedValue<Value>)> = ends_of_recorded_jobs
             .iter()
             .map(|(id, end)| new_record(&StoreKey::JobEnd((*id).clone()), end))
             .collect();
         records.extend(self.archive_records(number, &archived, &view));
         records.extend(snapshot.records_to_restore(&view));
-        missing(records, &view.job_and_chunk_records())
+        records_to_restore(records, &view.job_and_chunk_records())
     }
 
     /// Returns records that archive job ends in as few values as the size limit allows.
@@ -55,7 +56,7 @@
         number: u64,
         ends: &[(&JobId, JobEnd)],
         view: &View,
-    ) -> Vec<(String, Stored<Value>)> {
+    ) -> Vec<(String, VersionedValue<Value>)> {
         let value_bytes = self.limits.value_kb * 1024.0;
         let max_ends_per_value = (value_bytes as usize / ARCHIVED_END_BYTES).max(1);
         // An interrupted rebuild may have written some archives of this loss already.
@@ -79,7 +80,7 @@
 }
 
 /// Returns a record that is written only if its key does not exist. Its version replaces nothing.
-fn new_record(key: &StoreKey, record: &impl Serialize) -> (String, Stored<Value>) {
+fn new_record(key: &StoreKey, record: &impl Serialize) -> (String, VersionedValue<Value>) {
     stored_record(key, record, Revision(1))
 }
 
@@ -88,11 +89,11 @@
     key: &StoreKey,
     record: &impl Serialize,
     version: Revision,
-) -> (String, Stored<Value>) {
+) -> (String, VersionedValue<Value>) {
     let value = encode(record);
     (
         key.to_string(),
-        Stored {
+        VersionedValue {
             value,
             version: version.0,
         },
@@ -141,8 +142,8 @@
 impl View {
     /// Returns the records that have to survive a loss, apart from job ends: jobs and their chunks, and the machine
     /// types and provisioning requests that `current` lacks.
-    fn records_to_restore(&self, current: &View) -> Vec<(String, Stored<Value>)> {
-        let mut records: Vec<(String, Stored<Value>)> =
+    fn records_to_restore(&self, current: &View) -> Vec<(String, VersionedValue<Value>)> {
+        let mut records: Vec<(String, VersionedValue<Value>)> =
             self.job_and_chunk_records().into_iter().collect();
         if let Some(types) = &self.machine_types
             && current.machine_types.is_none()
@@ -160,7 +161,7 @@
     }
 
     /// Returns the records of jobs and their chunks.
-    fn job_and_chunk_records(&self) -> BTreeMap<String, Stored<Value>> {
+    fn job_and_chunk_records(&self) -> BTreeMap<String, VersionedValue<Value>> {
         let jobs = self.jobs.iter().map(|(id, job)| {
             let key = StoreKey::Job(id.clone());
             stored_record(&key, &job.value, job.version)
--- a/src/state_loss/restore.rs
+++ b/src/state_loss/restore.rs
@@ -67,7 +67,7 @@
             let marked = [Restore {
                 key: StoreKey::Loss.to_string(),
                 value: encode(&record),
-                replaces: found.version.0,
+                expected_version: found.version.0,
             }];
             if self.write(lease, &marked).await? {
                 return Ok(());
@@ -89,7 +89,7 @@
         let leader = StoreKey::Leader.has_version(lease.revision);
         let key_conditions = records.iter().map(|restore| Condition {
             key: restore.key.clone(),
-            version: Revision(restore.replaces),
+            version: Revision(restore.expected_version),
         });
         let conditions: Vec<Condition> = key_conditions.chain([leader]).collect();
         let puts = records
