--- a/tests/pinned/mod.rs
+++ b/tests/pinned/mod.rs
@@ -1,9 +1,6 @@
 //! Helpers of the tests that run the built program against fixtures: reading and comparing fixtures, and plain HTTP
 //! over loopback sockets.
-#![allow(
-    dead_code,
-    reason = "each test program uses only some of these helpers"
-)]
+#![allow(dead_code, reason = "each test program uses some helpers")]
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
