--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -133,12 +133,15 @@
             .scheduler
             .borrow_mut()
             .on_heartbeat(heartbeat, via, now);
-        let unwritten = term.scheduler.borrow().awaits_write(&heartbeat.machine);
-        if outcome.fresh && (outcome.changed || unwritten) {
+        let unwritten = term
+            .scheduler
+            .borrow()
+            .has_unwritten_placements(&heartbeat.machine);
+        if outcome.is_newest && (outcome.changed || unwritten) {
             // What the heartbeat brought is written, and what it made room for is placed, before the worker is answered.
             term.await_next_cycle().await;
         }
-        let commands = if !outcome.fresh {
+        let commands = if !outcome.is_newest {
             Vec::new()
         } else if term.may_send_commands(self.clock.now()) {
             let at = heartbeat.position();
@@ -147,7 +150,7 @@
         } else {
             self.stop_commands_for_cancelled(heartbeat)
         };
-        let is_idle = outcome.fresh && !outcome.changed && commands.is_empty();
+        let is_idle = outcome.is_newest && !outcome.changed && commands.is_empty();
         let may_redirect = via.is_empty() && is_idle && heartbeat.token == term.token();
         Some(Answer {
             token: term.token(),
@@ -182,7 +185,7 @@
         let stop = cancelled.map(|t| AgentCommand::Stop {
             task: t.task.clone(),
             attempt: t.attempt,
-            slack_s: 0.0,
+            save_grace_s: 0.0,
         });
         stop.collect()
     }
--- a/src/scheduler/offers.rs
+++ b/src/scheduler/offers.rs
@@ -107,7 +107,7 @@
     ) {
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
-        let may_use_spot = spec.spot && !job.lost_on_spot;
+        let may_use_spot = spec.spot && !job.lost_work_on_spot;
         if spec.is_gang() {
             self.offer_gang(id, machines, order, now);
             return;
@@ -244,13 +244,13 @@
             && job.waiting() > 0
         {
             let backoff = if job.crash_looping {
-                job.pause()
+                job.backoff()
             } else if job.spec.priority == Priority::Critical {
                 self.config.retry_interval
             } else {
                 self.config.retry_interval.scaled(intervals as u64, 1)
             };
-            job.next_try = now + backoff + Micros(jitter);
+            job.next_offer_at = now + backoff + Micros(jitter);
             self.job_index.schedule(job);
         }
     }
@@ -421,7 +421,7 @@
         let need = spec.need();
         let accelerator_headroom = self.accelerator_headroom.get(&spec.priority);
         let accelerator_headroom = accelerator_headroom.copied().unwrap_or_default();
-        let mut budget = job.open() as usize;
+        let mut budget = job.schedulable_tasks() as usize;
         if !spec.is_gang() {
             budget = budget.min(MAX_PLACEMENTS_PER_JOB.max(self.machines.len()));
         }
@@ -558,5 +558,5 @@
     if job.spec.together && total > in_zone {
         return false;
     }
-    in_zone + zone_unknown + planned < job.spec.zone_cap()
+    in_zone + zone_unknown + planned < job.spec.max_tasks_per_zone()
 }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -74,7 +74,7 @@
     ) {
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
-        let open = (job.open() as usize).saturating_sub(job.reservations.len());
+        let open = (job.schedulable_tasks() as usize).saturating_sub(job.reservations.len());
         if !self.config.max_start_delay.contains_key(&spec.class) && !self.is_entitled(id) {
             return;
         }
@@ -103,7 +103,7 @@
             let save_time = victims
                 .iter()
                 .filter_map(|t| spec_of(&self.jobs, &t.job))
-                .map(|s| Micros::from_secs_f64(s.save_slack()))
+                .map(|s| Micros::from_secs_f64(s.save_grace_s()))
                 .max()
                 .unwrap_or_default();
             // The stop is sent in the answer to the machine's next heartbeat, the exit is reported within a second
@@ -133,7 +133,7 @@
         self.events.push(SchedulerEvent::TaskPreempted {
             task: task.clone(),
             machine: p.machine.clone(),
-            by: preemptor.clone(),
+            preempting_job: preemptor.clone(),
         });
     }
 
@@ -257,11 +257,11 @@
         // array task again and again, and it would never finish. A guarantee is enforced at once, unless the task that
         // borrows its resources finishes in less time than a restart takes.
         let both_arrays = preemptor.spec.shape == Shape::Array && job.spec.shape == Shape::Array;
-        let is_short = Micros::from_secs_f64(job.spec.expect_s) <= RESTART_TIME;
+        let is_short = Micros::from_secs_f64(job.spec.expected_run_s) <= RESTART_TIME;
         if both_arrays && run_time < RESTART_TIME && (!is_borrowing || is_short) {
             return None;
         }
-        let save_time = Micros::from_secs_f64(job.spec.save_slack());
+        let save_time = Micros::from_secs_f64(job.spec.save_grace_s());
         let lost_work = if save_time > Micros::ZERO {
             save_time.min(run_time)
         } else {
@@ -280,10 +280,10 @@
         let Some(due_s) = job.spec.due_s else {
             return Micros::ZERO;
         };
-        let expected_run_time = Micros::from_secs_f64(job.spec.expect_s);
+        let expected_run_time = Micros::from_secs_f64(job.spec.expected_run_s);
         let remaining = expected_run_time.since(run_time);
         let misses_deadline = [2, 3].into_iter().any(|halves| {
-            let due = job.at + Micros::from_secs_f64(due_s).scaled(halves, 2).0;
+            let due = job.submitted_at + Micros::from_secs_f64(due_s).scaled(halves, 2).0;
             let time_until_due = due.saturating_sub(self.unix_time);
             time_until_due >= remaining.0 && time_until_due < (remaining + RESTART_TIME).0
         });
