--- a/tests/full_restart.rs
+++ b/tests/full_restart.rs
@@ -149,7 +149,7 @@
              [facts.machine_limits]\ncore_share = 0.5\nram_mb = 200.0\nmax_sockets = 3500\n",
             self.public_addrs[i], self.internal_addrs[i], self.cloud, self.state
         );
-        Platform::parse(&text).expect("the settings are valid")
+        Platform::parse(&text).expect("the settings are invalid")
     }
 
     /// Starts a controller after a delay and runs it until the future is dropped, which simulates a crash.
--- a/tests/pinned_frames.rs
+++ b/tests/pinned_frames.rs
@@ -353,7 +353,7 @@
         rest.and_then(|r| r.split_once(' '))
             .is_some_and(|(n, _)| n == name)
     });
-    unhex(expected(line.expect("the fixture has this name")))
+    unhex(expected(line.expect("the fixture has no such name")))
 }
 
 /// Reads as many bytes as `expected` has.
--- a/tests/pinned_records.rs
+++ b/tests/pinned_records.rs
@@ -527,7 +527,7 @@
     let answer = |name: &str| {
         let lines = pinned(EARLIER_RELEASES, "answer");
         let line = lines.into_iter().find(|line| line.contains(name));
-        expected(line.expect("the fixture has this name"))
+        expected(line.expect("the fixture has no such name"))
     };
     let page: Page = from_str(answer("answer/page ")).expect("a page");
     assert_eq!(
