--- a/tests/concurrent_failures.rs
+++ b/tests/concurrent_failures.rs
@@ -74,8 +74,8 @@
             let id = format!("j-{n}");
             let spec = job(&id, 1 + n % 2, 3.0);
             w.submit(0, &spec);
-            let all = spec["takes"].as_u64().expect("a number") as usize;
-            let completed = |w: &World| w.invariants.borrow().jobs[&id].completed.len() == all;
+            let tasks = spec["takes"].as_u64().expect("a number") as usize;
+            let completed = |w: &World| w.invariants.borrow().jobs[&id].completed.len() == tasks;
             assert!(w.run_until(60.0, completed), "{id} completes");
             w.run(w.sim.random() * 0.4);
             // Some jobs are cancelled, some are submitted again, and all are queried at all controllers repeatedly.
@@ -100,8 +100,8 @@
         for seed in SEEDS {
             let w = World::new(seed, 3);
             {
-                let mut state = w.state_faults.borrow_mut();
-                (state.lost_response_rate, state.late_commit_rate) =
+                let mut faults = w.state_faults.borrow_mut();
+                (faults.lost_response_rate, faults.late_commit_rate) =
                     (lost_response_rate, late_commit_rate);
             }
             for n in 0..10 {
@@ -218,8 +218,8 @@
                     (0..4).all(|n| w.invariants.borrow().running(&format!("j-n{n}")) == 3)
                 };
                 assert!(w.run_until(40.0, running), "the new jobs run");
-                let of = |n: usize| w.invariants.borrow().machines_of(&format!("j-n{n}"));
-                let machines: Vec<String> = (0..4).flat_map(of).collect();
+                let machines_of = |n: usize| w.invariants.borrow().machines_of(&format!("j-n{n}"));
+                let machines: Vec<String> = (0..4).flat_map(machines_of).collect();
                 let failed_leader = w.await_leader();
                 w.kill_node(failed_leader);
                 for machine in machines.iter().filter(|_| pause) {
@@ -252,8 +252,8 @@
     for (lost_response_rate, late_commit_rate) in [(0.0, 0.25), (0.35, 0.0), (0.15, 0.15)] {
         run_scenario(|w| {
             {
-                let mut state = w.state_faults.borrow_mut();
-                (state.lost_response_rate, state.late_commit_rate) =
+                let mut faults = w.state_faults.borrow_mut();
+                (faults.lost_response_rate, faults.late_commit_rate) =
                     (lost_response_rate, late_commit_rate);
             }
             w.run(15.0);
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn leader_failover_at_four_single_task_jobs_per_second_with_a_quarter_cancelled() {
+fn leader_fails_at_four_single_task_jobs_per_second_with_a_quarter_cancelled() {
     for seed in SEEDS {
         let w = World::new(seed, 3);
         w.traffic("b", 160, 0.25, 0.25, |id| job(id, 1, 3.0));
@@ -337,15 +337,15 @@
     w: &Rc<World>,
     machines: &[String],
     direction: BlockedDirection,
-    on: bool,
+    blocked: bool,
 ) {
     for machine in machines {
         for node in w.node_hosts() {
             if direction != BlockedDirection::ToControllers {
-                w.sim.block(node, machine_host(machine), on);
+                w.sim.block(node, machine_host(machine), blocked);
             }
             if direction != BlockedDirection::ToMachines {
-                w.sim.block(machine_host(machine), node, on);
+                w.sim.block(machine_host(machine), node, blocked);
             }
         }
     }
@@ -442,7 +442,7 @@
 
 #[test]
 fn jobs_are_cancelled_during_leader_failover() {
-    for back_after in [0.2, 4.0] {
+    for mean_down_s in [0.2, 4.0] {
         run_scenario(|w| {
             let mut next = 0;
             for _ in 0..2 {
@@ -451,7 +451,7 @@
                 for _ in 0..8 {
                     w.spawn_cancel(w.sim.random_below(3), &format!("j-a{next:03}"));
                     next += 1;
-                    w.run(w.sim.random() * back_after / 4.0);
+                    w.run(w.sim.random() * mean_down_s / 4.0);
                 }
                 w.start_node(leader);
                 w.run(4.0);
@@ -558,7 +558,7 @@
         for n in 0..4 {
             w.submit(n, &job(&format!("j-{n}"), 3, 20.0));
         }
-        // A machine with a task of the first job is paused.
+        // A machine with a task of the first job is paused, so that the tasks on it complete late.
         let first_machine = |w: &World| w.invariants.borrow().machines_of("j-0").first().cloned();
         assert!(
             w.run_until(60.0, |w| first_machine(w).is_some()),
@@ -610,7 +610,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum ExtraFault {
     None,
-    /// The leader is killed 1.5 s into the outage and restarted at once.
+    /// The leader is killed 1.5 s into the outage, once it has been told of the cancellations, and restarted at once.
     LeaderRestarts,
     /// The controller that confirmed a cancellation is killed right after and restarted 4 s into the outage.
     ConfirmerRestarts,
@@ -632,19 +632,21 @@
     assert!(w.run_until(60.0, running), "the jobs run");
     let leader = w.await_leader();
     let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
-    let set_isolated = |w: &World, on: bool| match isolation {
-        LeaderIsolation::StateRefused => w.set_node_refused(leader, on),
+    let set_isolated = |w: &World, isolated: bool| match isolation {
+        LeaderIsolation::StateRefused => w.set_node_refused(leader, isolated),
         LeaderIsolation::WorkersOnly => w.set_partition(
             &[node_host(leader)],
             &[STATE, node_host(others[0]), node_host(others[1])],
-            on,
+            isolated,
+        ),
+        LeaderIsolation::OnePeer => w.set_partition(
+            &[node_host(leader)],
+            &[STATE, node_host(others[1])],
+            isolated,
         ),
-        LeaderIsolation::OnePeer => {
-            w.set_partition(&[node_host(leader)], &[STATE, node_host(others[1])], on)
-        }
         LeaderIsolation::Zone => {
             let zone = w.node_zone(leader);
-            w.set_partition(&w.zone_hosts(&zone), &w.hosts_outside_zone(&zone), on);
+            w.set_partition(&w.zone_hosts(&zone), &w.hosts_outside_zone(&zone), isolated);
         }
     };
     set_isolated(&w, true);
@@ -674,9 +676,9 @@
             w.run(4.0);
             w.start_node(confirmer);
         }
-        ExtraFault::MachinesPause(seconds) => {
+        ExtraFault::MachinesPause(pause_s) => {
             for machine in w.invariants.borrow().machines_of("j-1") {
-                w.sim.pause(machine_host(&machine), seconds);
+                w.sim.pause(machine_host(&machine), pause_s);
             }
         }
         ExtraFault::None | ExtraFault::LateCommits => {}
@@ -739,7 +741,7 @@
 // the state service is slow or refuses one of them, and duplicates of old heartbeats arrive.
 #[test]
 fn running_tasks_are_neither_restarted_nor_stopped_by_a_full_restart() {
-    for (extra_latency_s, refused, back_after) in [
+    for (extra_latency_s, refused, restart_delays_s) in [
         (0.0, None, [0.0, 0.0, 0.0]),
         (0.3, None, [0.0, 1.0, 2.0]),
         (0.0, Some(0), [0.0, 0.5, 1.5]),
@@ -761,8 +763,8 @@
             if let Some(node) = refused {
                 w.set_node_refused(node, true);
             }
-            for (node, after) in back_after.into_iter().enumerate() {
-                w.run(after);
+            for (node, delay_s) in restart_delays_s.into_iter().enumerate() {
+                w.run(delay_s);
                 w.start_node(node);
             }
             w.run(20.0);
@@ -777,8 +779,8 @@
             w.assert_recovers(150.0);
             let invariants = w.invariants.borrow();
             for n in 0..5 {
-                let done = invariants.jobs[&format!("j-{n}")].completed.len();
-                assert_eq!(done, 3, "j-{n} completes without a second start");
+                let completed = invariants.jobs[&format!("j-{n}")].completed.len();
+                assert_eq!(completed, 3, "j-{n} completes without a second start");
             }
             assert_eq!(invariants.starts, 18);
         }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use support::world::{Deployment, STATE, World, job, node_host, with};
 
-/// More machines than operators run, so that no limit is met only just.
+/// More machines than operators run, so that every limit is met with a margin.
 const MACHINES: usize = 4_200;
 /// Tasks of a job that fills part of the fleet.
 const TASKS: u32 = 600;
@@ -73,7 +73,7 @@
     }
     let started_at = w.sim.now();
     let all = JOBS * TASKS as usize;
-    // A few machines never become ready, which the controller finds out only after a while.
+    // A few machines never become ready, which is detected only after a while.
     let nearly_full = |w: &World| running_tasks(w) * 50 >= all * 49;
     let filled = w.run_until(300.0, nearly_full);
     assert!(filled, "{} of {all} run", running_tasks(&w));
--- a/tests/state_loss.rs
+++ b/tests/state_loss.rs
@@ -2,7 +2,7 @@
 //! time.
 //!
 //! The invariant checker checks each step. Within two minutes the stored state must match the running tasks again, and
-//! finally each accepted job must be done or cancelled, as responses to its user said.
+//! finally each accepted job must be done or cancelled, in agreement with earlier responses to its user.
 
 mod support;
 
@@ -22,8 +22,8 @@
 ];
 /// Seconds within which stored state must be rebuilt.
 const REBUILT_WITHIN_S: f64 = 120.0;
-/// Seconds within which every key has been compared with each controller's view, so that a loss is detected and its
-/// rebuild started.
+/// Seconds within which every key has been compared with each controller's view, and a loss detected this way is being
+/// rebuilt.
 const COMPARED_WITHIN_S: f64 = 30.0;
 
 fn cluster_with_traffic(seed: u64) -> Rc<World> {
@@ -247,8 +247,8 @@
     }
 }
 
-// Guards against falsely detected losses: outages, lost responses, late commits, refusals, process pauses and new
-// leaders are no loss of state.
+// Guards against falsely detected losses: outages, lost responses, late commits, refusals, process pauses and
+// new leaders are no loss of state.
 #[test]
 fn no_rebuild_without_a_loss() {
     for seed in SEEDS {
--- a/tests/support/invariants.rs
+++ b/tests/support/invariants.rs
@@ -68,14 +68,14 @@
         }
     }
 
-    fn violation(&mut self, now: u64, rule: &str, details: String) {
+    fn record_violation(&mut self, now: u64, rule: &str, details: String) {
         let line = format!("{rule} at {:.3}: {details}", now as f64 / 1e6);
         if !self.violations.contains(&line) {
             self.violations.push(line);
         }
     }
 
-    fn log(&mut self, now: u64, details: String) {
+    fn log_event(&mut self, now: u64, details: String) {
         self.event_log.push(format!("{now} {details}"));
     }
 
@@ -87,12 +87,11 @@
 
     /// Records that a user requests the cancellation of a job.
     pub fn record_cancel_request(&mut self, now: u64, id: &str) {
-        self.log(now, format!("cancel {id}"));
+        self.log_event(now, format!("cancel {id}"));
         self.jobs.entry(id.to_owned()).or_default().cancel_requested = true;
     }
 
-    /// Records and checks a response to a user. `request` is the kind of request, `since` the time at which it was
-    /// sent.
+    /// Records and checks a response to a user's request of the kind `request`, which was sent at `since`.
     pub fn record_response(
         &mut self,
         now: u64,
@@ -102,20 +101,20 @@
         status: u16,
         state: &str,
     ) {
-        self.log(now, format!("{request} {id}: {status} {state}"));
+        self.log_event(now, format!("{request} {id}: {status} {state}"));
         let Some(job) = self.jobs.get_mut(id) else {
             if status == 200 || status == 201 {
-                self.violation(now, "unknown_job", id.to_owned());
+                self.record_violation(now, "unknown_job", id.to_owned());
             }
             return;
         };
         let was_accepted = job.accepted_at.is_some_and(|at| at <= since);
         if status == 404 && request != "submit" && was_accepted {
-            self.violation(now, "job_lost", format!("{request} {id}: 404"));
+            self.record_violation(now, "job_lost", format!("{request} {id}: 404"));
             return;
         }
         if (status == 400 || status == 422) && request == "submit" && was_accepted {
-            self.violation(now, "job_lost", format!("submit {id}: {status}"));
+            self.record_violation(now, "job_lost", format!("submit {id}: {status}"));
             return;
         }
         if status != 200 && status != 201 {
@@ -127,7 +126,7 @@
         let known = job.final_state.clone();
         match (&known, state) {
             (Some((end, at)), state) if end != state && *at <= since => {
-                self.violation(now, "state_reverted", format!("{id}: {end}, then {state}"));
+                self.record_violation(now, "state_reverted", format!("{id}: {end}, then {state}"));
             }
             (None, "done" | "aborted") => {
                 job.final_state = Some((state.to_owned(), now));
@@ -135,14 +134,18 @@
                     self.cancelled.insert(id.to_owned());
                 }
                 if state == "done" && completed < tasks {
-                    self.violation(
+                    self.record_violation(
                         now,
                         "done_too_early",
                         format!("{id}: {completed} of {tasks}"),
                     );
                 }
                 if state == "aborted" && !cancel_requested {
-                    self.violation(now, "state_reverted", format!("{id}: no user cancelled it"));
+                    self.record_violation(
+                        now,
+                        "state_reverted",
+                        format!("{id}: no user cancelled it"),
+                    );
                 }
             }
             _ => {}
@@ -151,17 +154,17 @@
 
     /// Records and checks that a task starts on a machine, once its image is fetched.
     pub fn record_start(&mut self, now: u64, id: &str, index: u32, machine: &str, pool: &Pool) {
-        self.log(now, format!("start {id}/{index} on {machine}"));
+        self.log_event(now, format!("start {id}/{index} on {machine}"));
         self.starts += 1;
         let key = (id.to_owned(), index);
         if let Some((other, _)) = self.running_on.get(&key)
             && other != machine
         {
             let details = format!("{id}/{index} on {other} and {machine}");
-            self.violation(now, "duplicate_run", details);
+            self.record_violation(now, "duplicate_run", details);
         }
         let Some(job) = self.jobs.get(id).cloned() else {
-            self.violation(now, "unknown_job", format!("{id} started"));
+            self.record_violation(now, "unknown_job", format!("{id} started"));
             return;
         };
         if let Some((end, at)) = &job.final_state
@@ -169,7 +172,7 @@
         {
             self.starts_after_cancel += 1;
             if now > at + self.cancel_deadline {
-                self.violation(now, "ran_after_cancel", format!("{id}/{index} started"));
+                self.record_violation(now, "ran_after_cancel", format!("{id}/{index} started"));
             }
         }
         self.running_on
@@ -196,7 +199,7 @@
             && (spec["together"] != true || here == zones.len())
             && (spec["spread"] != true || here <= tasks.div_ceil(2));
         if !allowed_here {
-            self.violation(now, "placement", format!("{id} on {machine}"));
+            self.record_violation(now, "placement", format!("{id} on {machine}"));
         }
     }
 
@@ -219,13 +222,13 @@
             .map(|j| j.spec["cards"].as_f64().unwrap_or(0.0))
             .sum();
         if used > limit + 1e-9 {
-            self.violation(now, "quota", format!("{team}: {used} of {limit}"));
+            self.record_violation(now, "quota", format!("{team}: {used} of {limit}"));
         }
     }
 
     /// Records that a task has ended on its machine, completed or stopped.
     pub fn record_end(&mut self, now: u64, id: &str, index: u32, machine: &str, completed: bool) {
-        self.log(
+        self.log_event(
             now,
             format!("end {id}/{index} on {machine} done={completed}"),
         );
@@ -240,7 +243,7 @@
 
     /// Records that a machine was terminated together with its tasks.
     pub fn record_machine_loss(&mut self, now: u64, machine: &str) {
-        self.log(now, format!("gone {machine}"));
+        self.log_event(now, format!("terminated {machine}"));
         self.running_on.retain(|_, (m, _)| m != machine);
     }
 
@@ -255,7 +258,7 @@
             .map(|((id, index), (machine, _))| format!("{id}/{index} on {machine}"))
             .collect();
         for details in late {
-            self.violation(now, "ran_after_cancel", details);
+            self.record_violation(now, "ran_after_cancel", details);
         }
     }
 
--- a/tests/support/loopback.rs
+++ b/tests/support/loopback.rs
@@ -66,8 +66,8 @@
         self.try_call(method, path, body).await.expect("a response")
     }
 
-    /// Repeats a request until `is_expected` accepts the response, and returns its body. There is no timeout here: the test's
-    /// own time limit applies.
+    /// Repeats a request until `is_expected` accepts the response, and returns the response's body. There is no timeout
+    /// here: the test's own time limit applies.
     pub async fn until(
         &self,
         method: Method,
--- a/tests/support/sim.rs
+++ b/tests/support/sim.rs
@@ -50,9 +50,9 @@
 /// The process that runs on a host until it completes or is killed.
 struct Process {
     main: BoxedFuture,
-    woken: Arc<HostWaker>,
+    waker: Arc<HostWaker>,
     /// Executor of the tasks that the main future spawns. `None` if it spawns none.
-    ex: Option<Rc<Executor>>,
+    executor: Option<Rc<Executor>>,
 }
 
 #[derive(Default)]
@@ -153,24 +153,28 @@
         host: HostId,
         make: impl FnOnce(Rc<Executor>) -> F,
     ) {
-        let ex = Rc::new(Executor::new());
+        let executor = Rc::new(Executor::new());
         let previous = self.current.replace(host);
-        let main = Box::pin(make(ex.clone()));
+        let main = Box::pin(make(executor.clone()));
         self.current.set(previous);
         // If the future did not keep the executor, nothing can be spawned on it.
-        let ex = (Rc::strong_count(&ex) > 1).then_some(ex);
-        if ex.is_some() {
+        let executor = (Rc::strong_count(&executor) > 1).then_some(executor);
+        if executor.is_some() {
             self.hosts_with_executor.borrow_mut().insert(host);
         } else {
             self.hosts_with_executor.borrow_mut().remove(&host);
         }
-        let woken = Arc::new(HostWaker {
+        let waker = Arc::new(HostWaker {
             host,
             woken: AtomicBool::new(false),
             ready: self.ready.clone(),
         });
-        woken.clone().wake();
-        let process = Process { main, woken, ex };
+        waker.clone().wake();
+        let process = Process {
+            main,
+            waker,
+            executor,
+        };
         let mut hosts = self.hosts.borrow_mut();
         let entry = hosts.entry(host).or_default();
         entry.paused_until = 0;
@@ -209,7 +213,7 @@
             h.total_pause += until.saturating_sub(h.paused_until.max(self.now()));
             h.paused_until = until;
             let waker = match &h.process {
-                Some(process) => Waker::from(process.woken.clone()),
+                Some(process) => Waker::from(process.waker.clone()),
                 None => Waker::noop().clone(),
             };
             let id = self.next_timer();
@@ -308,16 +312,20 @@
             let Some(mut process) = process else { continue };
             self.current.set(id);
             let mut finished = false;
-            if process.woken.woken.swap(false, Ordering::Relaxed) {
+            if process.waker.woken.swap(false, Ordering::Relaxed) {
                 progressed = true;
-                let waker = Waker::from(process.woken.clone());
+                let waker = Waker::from(process.waker.clone());
                 finished = process
                     .main
                     .as_mut()
                     .poll(&mut Context::from_waker(&waker))
                     .is_ready();
             }
-            while process.ex.as_ref().is_some_and(|ex| ex.try_tick()) {
+            while process
+                .executor
+                .as_ref()
+                .is_some_and(|executor| executor.try_tick())
+            {
                 progressed = true;
             }
             self.current.set(SCENARIO);
--- a/tests/support/wire.rs
+++ b/tests/support/wire.rs
@@ -1,6 +1,6 @@
 //! A digest of everything sent over the in-memory network: the time, the two hosts and the bytes of each write.
 //!
-//! The `date` header of responses holds the real time and is left out.
+//! The `date` header of responses contains the real time and is left out.
 
 use std::cell::Cell;
 
--- a/tests/support/world/mod.rs
+++ b/tests/support/world/mod.rs
@@ -154,7 +154,7 @@
     }
 }
 
-/// A token bucket: each request or change takes one token.
+/// A token bucket that holds the tokens of a few seconds. Each request or changed key takes one token.
 struct TokenBucket {
     per_second: f64,
     burst: f64,
@@ -230,7 +230,7 @@
     provisioning_requests_sent: RefCell<BTreeMap<String, Vec<String>>>,
     /// Maximum number of machines that the cloud provides.
     pub capacity: Cell<usize>,
-    /// Fraction of the heartbeats of which a duplicate is delivered, 2 s to 1.5 leases later.
+    /// Fraction of the heartbeats of which a duplicate is delivered, 2 s to 2 s plus 1.5 leases later.
     pub duplicate_rate: Cell<f64>,
     /// Heartbeats recorded so that a scenario can deliver them to the next leader. `None` while not recording.
     pub recorded_heartbeats: RefCell<Option<Vec<String>>>,
@@ -506,7 +506,7 @@
         self.keys_changed.notify(usize::MAX);
     }
 
-    /// Makes the state service lose data. Returns whether job, end or run records were lost.
+    /// Makes the state service lose data. Returns whether records of jobs, their ends or their running tasks were lost.
     pub fn lose_state(&self, loss: Loss) -> bool {
         let mut keys = self.keys.borrow_mut();
         let previous = keys.keys.clone();
--- a/tests/support/world/worker.rs
+++ b/tests/support/world/worker.rs
@@ -48,8 +48,8 @@
     /// Returns the time at which the next task changes state or the lease expires.
     fn next_change(&self, worker: &Worker) -> u64 {
         let tasks = worker.tasks.borrow();
-        let of_task = tasks.values().map(|run| run.next_change_at).min();
-        of_task
+        let next_task_change = tasks.values().map(|run| run.next_change_at).min();
+        next_task_change
             .unwrap_or(u64::MAX)
             .min(self.lease_expires_at(worker) + 1)
     }
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Records a heartbeat if a scenario asked for it, and at random schedules a duplicate of it.
+    /// Records a heartbeat if a scenario requires it, and schedules a duplicate of it at random.
     pub(super) fn record_and_duplicate(&self, node: usize, body: &str) {
         if let Some(heartbeats) = &mut *self.recorded_heartbeats.borrow_mut() {
             heartbeats.push(body.to_owned());
