--- a/src/scheduler/job_index.rs
+++ b/src/scheduler/job_index.rs
@@ -31,7 +31,8 @@
 
     /// Schedules a job with waiting tasks at its next retry, which may be earlier than before.
     pub(super) fn schedule(&mut self, job: &Job) {
-        self.retries.insert((job.next_try, job.spec.id.clone()));
+        self.retries
+            .insert((job.next_offer_at, job.spec.id.clone()));
     }
 
     /// Removes and returns the jobs that are due to be offered, and the number of entries examined. The caller must
@@ -51,7 +52,7 @@
             let Some(job) = jobs.get(&id).filter(|j| j.waiting() > 0) else {
                 continue;
             };
-            if job.next_try > now {
+            if job.next_offer_at > now {
                 self.schedule(job);
             } else {
                 due.insert(id);
