--- a/src/scheduler/scenarios/latency_sensitive.rs
+++ b/src/scheduler/scenarios/latency_sensitive.rs
@@ -1,6 +1,6 @@
 //! Many short tasks of several teams, and few writes.
 
-use super::{Scenario, TOKEN, runs, spec};
+use super::{Simulation, TOKEN, count_starts, spec};
 use crate::scheduler::{
     AgentCommand, ExitCause, JobSpec, MachineId, Priority, TaskState, TeamQuota, Write,
 };
@@ -21,28 +21,28 @@
 // against small tasks that take, bit by bit, the room that is being made for a large one.
 #[test]
 fn what_a_team_is_guaranteed_takes_the_room_made_for_it_and_keeps_it() {
-    let mut t = Scenario::new(0.0);
-    t.s.config.guarantee_start_delay = Some(Micros::secs(15));
+    let mut sim = Simulation::new(0.0);
+    sim.scheduler.config.guarantee_start_delay = Some(Micros::secs(15));
     for (name, cards) in [("owed", 2.0), ("borrows", 1.0)] {
         let share = TeamQuota::new(0.0, 0.0, cards, 0.0);
-        t.s.teams.insert(name.into(), share);
+        sim.scheduler.teams.insert(name.into(), share);
     }
     let of = |team: &str, spec: JobSpec| JobSpec {
         team: team.into(),
         ..spec
     };
-    t.worker("m-1", "a", false);
+    sim.add_worker("m-1", "a", false);
     let long = |id: &str, tasks: u32| JobSpec {
         expected_run_s: 100.0,
         due_s: Some(200.0),
         ..latency_sensitive(id, tasks)
     };
-    t.submit(of("borrows", long("j-1", 2)));
-    t.round();
-    t.beat("m-1");
-    t.beat("m-1");
-    assert_eq!(t.running(), 2);
-    t.submit(of("borrows", latency_sensitive("j-2", 3)));
+    sim.submit(of("borrows", long("j-1", 2)));
+    sim.run_cycle_and_commit();
+    sim.heartbeat("m-1");
+    sim.heartbeat("m-1");
+    assert_eq!(sim.running(), 2);
+    sim.submit(of("borrows", latency_sensitive("j-2", 3)));
     let large = JobSpec {
         priority: Priority::Normal,
         cores: 12.0,
@@ -50,22 +50,22 @@
         ram_gb: 96.0,
         ..spec("j-3", 1)
     };
-    t.submit(of("owed", large));
-    let stops = t.ask("m-1");
+    sim.submit(of("owed", large));
+    let stops = sim.send_heartbeat("m-1");
     assert_eq!(stops.len(), 2, "{stops:?}");
     assert!(stops.iter().all(|o| matches!(o, AgentCommand::Stop { .. })));
     // One of the two exits first.
-    let worker = t.workers.get_mut("m-1").expect("a worker");
+    let worker = sim.workers.get_mut("m-1").expect("a worker");
     worker.execute(&stops[..1], TOKEN);
-    let orders = t.ask("m-1");
-    assert_eq!(runs(&orders), 0, "its room is kept: {orders:?}");
-    let worker = t.workers.get_mut("m-1").expect("a worker");
+    let commands = sim.send_heartbeat("m-1");
+    assert_eq!(count_starts(&commands), 0, "its room is kept: {commands:?}");
+    let worker = sim.workers.get_mut("m-1").expect("a worker");
     worker.execute(&stops[1..], TOKEN);
     for _ in 0..6 {
-        t.beat("m-1");
-        t.wait(1);
+        sim.heartbeat("m-1");
+        sim.advance(1);
     }
-    let tasks = &t.workers["m-1"].tasks;
+    let tasks = &sim.workers["m-1"].tasks;
     let live = tasks
         .iter()
         .filter(|(_, (state, _))| *state != TaskState::Exited);
@@ -77,8 +77,9 @@
 // would be stopped for each of them and never end.
 #[test]
 fn an_array_is_not_stopped_for_a_higher_one_before_it_ran_for_a_while() {
-    let mut t = Scenario::new(0.0);
-    t.s.config
+    let mut sim = Simulation::new(0.0);
+    sim.scheduler
+        .config
         .max_start_delay
         .insert("fast".into(), Micros::secs(8));
     let whole_machine = JobSpec {
@@ -86,25 +87,25 @@
         accelerators: 0.0,
         ..spec("j-1", 1)
     };
-    t.worker("m-1", "a", false);
-    t.submit(whole_machine);
-    t.round();
-    t.beat("m-1");
-    t.beat("m-1");
-    assert_eq!(t.running(), 1);
-    t.submit(JobSpec {
+    sim.add_worker("m-1", "a", false);
+    sim.submit(whole_machine);
+    sim.run_cycle_and_commit();
+    sim.heartbeat("m-1");
+    sim.heartbeat("m-1");
+    assert_eq!(sim.running(), 1);
+    sim.submit(JobSpec {
         class: "fast".into(),
         accelerators: 0.0,
         ..latency_sensitive("j-2", 1)
     });
     let mut ran = 0;
     let stops = loop {
-        t.round();
-        let stops = t.ask("m-1");
+        sim.run_cycle_and_commit();
+        let stops = sim.send_heartbeat("m-1");
         if !stops.is_empty() || ran > 60 {
             break stops;
         }
-        t.wait(1);
+        sim.advance(1);
         ran += 1;
     };
     assert!(
@@ -119,27 +120,27 @@
 #[test]
 fn a_guarantee_waits_for_short_borrowed_tasks_but_not_for_long_ones() {
     let stops = |expected_run_s: f64| {
-        let mut t = Scenario::new(0.0);
-        t.s.config.guarantee_start_delay = Some(Micros::secs(10));
+        let mut sim = Simulation::new(0.0);
+        sim.scheduler.config.guarantee_start_delay = Some(Micros::secs(10));
         for team in ["owed", "borrows"] {
             let share = TeamQuota::new(0.0, 0.0, 1.0, 0.0);
-            t.s.teams.insert(team.into(), share);
+            sim.scheduler.teams.insert(team.into(), share);
         }
-        t.worker("m-1", "a", false);
-        t.submit(JobSpec {
+        sim.add_worker("m-1", "a", false);
+        sim.submit(JobSpec {
             team: "borrows".into(),
             expected_run_s,
             ..spec("j-1", 2)
         });
-        t.round();
-        t.beat("m-1");
-        t.beat("m-1");
-        t.submit(JobSpec {
+        sim.run_cycle_and_commit();
+        sim.heartbeat("m-1");
+        sim.heartbeat("m-1");
+        sim.submit(JobSpec {
             team: "owed".into(),
             ..spec("j-2", 1)
         });
-        t.round();
-        t.ask("m-1").len()
+        sim.run_cycle_and_commit();
+        sim.send_heartbeat("m-1").len()
     };
     assert_eq!(stops(20.0), 0);
     assert_eq!(stops(100.0), 1);
@@ -147,23 +148,28 @@
 
 /// Seconds for which an empty machine is kept after such a job.
 fn kept_after(job: JobSpec, on_spot: bool) -> u64 {
-    let mut t = Scenario::new(0.0);
-    t.worker("m-1", "a", on_spot);
-    t.submit(job);
-    t.s.plan_fleet(t.now, 1_000_000);
-    t.round();
-    t.beat("m-1");
-    t.wait(70);
-    let worker = t.workers.get_mut("m-1").expect("a worker");
+    let mut sim = Simulation::new(0.0);
+    sim.add_worker("m-1", "a", on_spot);
+    sim.submit(job);
+    sim.scheduler.plan_fleet(sim.now, 1_000_000);
+    sim.run_cycle_and_commit();
+    sim.heartbeat("m-1");
+    sim.advance(70);
+    let worker = sim.workers.get_mut("m-1").expect("a worker");
     worker.exit_all(ExitCause::Done);
-    t.beat("m-1");
-    t.beat("m-1");
+    sim.heartbeat("m-1");
+    sim.heartbeat("m-1");
     for seconds in 0..100 {
-        t.beat("m-1");
-        if !t.s.plan_fleet(t.now, 1_000_000).terminate.is_empty() {
+        sim.heartbeat("m-1");
+        if !sim
+            .scheduler
+            .plan_fleet(sim.now, 1_000_000)
+            .terminate
+            .is_empty()
+        {
             return seconds;
         }
-        t.wait(1);
+        sim.advance(1);
     }
     100
 }
@@ -196,40 +202,40 @@
 // Guards against the finishes of many short tasks using up the writes for which starts wait.
 #[test]
 fn where_writes_are_short_finishes_wait_for_their_jobs_next_placement_or_end_or_some_seconds() {
-    let mut t = Scenario::new(0.0);
-    t.worker("m-1", "a", false);
-    t.submit(JobSpec {
+    let mut sim = Simulation::new(0.0);
+    sim.add_worker("m-1", "a", false);
+    sim.submit(JobSpec {
         cores: 1.0,
         accelerators: 0.0,
         ram_gb: 1.0,
         ..spec("j-1", 3)
     });
-    t.round();
-    t.beat("m-1");
-    let finish = |t: &mut Scenario, index: u32| {
-        let worker = t.workers.get_mut("m-1").expect("a worker");
+    sim.run_cycle_and_commit();
+    sim.heartbeat("m-1");
+    let finish = |sim: &mut Simulation, index: u32| {
+        let worker = sim.workers.get_mut("m-1").expect("a worker");
         let task = format!("j-1/{index}");
         for ((name, _), state) in worker.tasks.iter_mut() {
             if *name == task {
                 *state = (TaskState::Exited, Some(ExitCause::Done));
             }
         }
-        let report = worker.report("m-1");
-        t.s.on_heartbeat(&report, t.via, t.now);
+        let heartbeat = worker.next_heartbeat("m-1");
+        sim.scheduler.on_heartbeat(&heartbeat, sim.via, sim.now);
     };
-    finish(&mut t, 0);
-    assert_eq!(t.s.next_batch(20, 36_000, true), vec![]);
-    t.wait(11);
-    finish(&mut t, 1);
-    let batch = t.s.next_batch(20, 36_000, true);
+    finish(&mut sim, 0);
+    assert_eq!(sim.scheduler.next_batch(20, 36_000, true), vec![]);
+    sim.advance(11);
+    finish(&mut sim, 1);
+    let batch = sim.scheduler.next_batch(20, 36_000, true);
     assert!(
         matches!(&batch[..], [Write::Chunk { record, .. }] if record.finished == 0b11),
         "{batch:?}"
     );
-    t.revision.0 += 1;
-    t.s.batch_applied(&batch, t.revision);
-    finish(&mut t, 2);
-    let batch = t.s.next_batch(20, 36_000, true);
+    sim.revision.0 += 1;
+    sim.scheduler.batch_applied(&batch, sim.revision);
+    finish(&mut sim, 2);
+    let batch = sim.scheduler.next_batch(20, 36_000, true);
     assert!(
         matches!(&batch[..], [Write::DoneAndRemove { .. }]),
         "{batch:?}"
@@ -240,28 +246,29 @@
 // differ from what was written, and removed where they were.
 #[test]
 fn images_are_written_once_and_removed_only_where_they_were() {
-    let mut t = Scenario::new(0.0);
-    t.worker("m-1", "a", false);
-    t.worker("m-2", "a", false);
+    let mut sim = Simulation::new(0.0);
+    sim.add_worker("m-1", "a", false);
+    sim.add_worker("m-2", "a", false);
     for n in 0..3 {
-        t.submit(spec(&format!("j-{n}"), 1));
-        t.round();
-        t.beat("m-1");
-        t.beat("m-1");
-        let written = t.images.remove(&MachineId("m-1".into()));
+        sim.submit(spec(&format!("j-{n}"), 1));
+        sim.run_cycle_and_commit();
+        sim.heartbeat("m-1");
+        sim.heartbeat("m-1");
+        let written = sim.images.remove(&MachineId("m-1".into()));
         assert_eq!(
             written.is_some(),
             n == 0,
             "the same image is not written again"
         );
-        let worker = t.workers.get_mut("m-1").expect("a worker");
+        let worker = sim.workers.get_mut("m-1").expect("a worker");
         worker.exit_all(ExitCause::Done);
-        t.beat("m-1");
-        t.beat("m-1");
+        sim.heartbeat("m-1");
+        sim.heartbeat("m-1");
     }
     for (machine, removed) in [("m-2", false), ("m-1", true)] {
-        t.s.on_terminated(&[MachineId(machine.into())], t.now);
-        let batch = t.s.next_batch(20, 36_000, false);
+        sim.scheduler
+            .on_terminated(&[MachineId(machine.into())], sim.now);
+        let batch = sim.scheduler.next_batch(20, 36_000, false);
         let is_removal = matches!(&batch[..], [Write::Images { images: None, .. }]);
         assert_eq!(is_removal, removed, "{machine}: {batch:?}");
     }
--- a/src/scheduler/scenarios/mod.rs
+++ b/src/scheduler/scenarios/mod.rs
@@ -1,4 +1,4 @@
-//! Short scenarios about the scheduler, told against workers and a store that exist only in memory, in virtual time.
+//! Scenario tests of the scheduler in virtual time, with simulated workers and an in-memory key-value store.
 
 mod commands;
 mod failure_detection;
@@ -22,12 +22,12 @@
 
 const TOKEN: FencingToken = FencingToken(7);
 
-/// The fencing token of a leader so many terms after another.
-fn later(token: FencingToken, terms: u64) -> FencingToken {
+/// Returns the fencing token of the leader `terms` leader terms after the one with `token`.
+fn token_after(token: FencingToken, terms: u64) -> FencingToken {
     FencingToken(token.0 + terms)
 }
 
-/// A worker as the protocol describes it, as far as the scenarios need.
+/// A simulated worker that implements the part of the protocol that the scenarios need.
 #[derive(Default)]
 struct Worker {
     zone: String,
@@ -40,7 +40,8 @@
 }
 
 impl Worker {
-    fn report(&mut self, name: &str) -> Heartbeat {
+    /// Returns the next heartbeat of the worker, which runs on the machine `name`.
+    fn next_heartbeat(&mut self, name: &str) -> Heartbeat {
         self.sequence += 1;
         let tasks = self
             .tasks
@@ -64,23 +65,24 @@
         }
     }
 
-    fn execute(&mut self, orders: &[AgentCommand], token: FencingToken) {
+    /// Executes the commands of a leader, unless its fencing token is lower than the highest one received.
+    fn execute(&mut self, commands: &[AgentCommand], token: FencingToken) {
         if token < self.token {
             return;
         }
         self.token = token;
-        for order in orders {
-            match order.clone() {
+        for command in commands {
+            match command.clone() {
                 AgentCommand::Run { task, attempt } => {
                     self.tasks
                         .entry((task, attempt))
                         .or_insert((TaskState::Running, None));
                 }
                 AgentCommand::Stop { task, attempt, .. } => {
-                    if let Some(t) = self.tasks.get_mut(&(task, attempt))
-                        && t.0 != TaskState::Exited
+                    if let Some(status) = self.tasks.get_mut(&(task, attempt))
+                        && status.0 != TaskState::Exited
                     {
-                        *t = (TaskState::Exited, Some(ExitCause::Stopped));
+                        *status = (TaskState::Exited, Some(ExitCause::Stopped));
                     }
                 }
                 AgentCommand::Clear { task, attempt } => {
@@ -90,23 +92,25 @@
         }
     }
 
+    /// Ends all tasks with this cause.
     fn exit_all(&mut self, cause: ExitCause) {
-        for t in self.tasks.values_mut().filter(|t| t.0 != TaskState::Exited) {
-            *t = (TaskState::Exited, Some(cause));
+        for status in self.tasks.values_mut().filter(|s| s.0 != TaskState::Exited) {
+            *status = (TaskState::Exited, Some(cause));
         }
     }
 
+    /// Returns the number of tasks that have not exited.
     fn running(&self) -> usize {
         self.tasks
             .values()
-            .filter(|t| t.0 != TaskState::Exited)
+            .filter(|s| s.0 != TaskState::Exited)
             .count()
     }
 }
 
-/// A leader's scheduler with a store and workers in memory.
-struct Scenario {
-    s: Scheduler,
+/// A simulation of a leader's scheduler, its workers and the key-value store.
+struct Simulation {
+    scheduler: Scheduler,
     now: Micros,
     revision: Revision,
     chunks: BTreeMap<(JobId, u32), (ChunkRecord, Revision)>,
@@ -114,7 +118,7 @@
     done: BTreeSet<JobId>,
     images: BTreeMap<MachineId, Vec<CachedImage>>,
     workers: BTreeMap<String, Worker>,
-    /// The controller that passes heartbeats on.
+    /// Node name of the controller that forwards heartbeats. Empty if workers send them to the leader directly.
     via: &'static str,
 }
 
@@ -152,6 +156,7 @@
     }
 }
 
+/// Returns the spec of a low-priority batch array. Two of its tasks fit on a machine.
 fn spec(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         id: JobId(id.into()),
@@ -177,7 +182,8 @@
     }
 }
 
-fn live(id: &str) -> JobSpec {
+/// Returns the spec of a critical service with one replica on on-demand machines.
+fn critical_service(id: &str) -> JobSpec {
     JobSpec {
         class: "live".into(),
         shape: Shape::Service,
@@ -189,15 +195,16 @@
     }
 }
 
-impl Scenario {
-    fn new(gpus_max: f64) -> Scenario {
+impl Simulation {
+    /// Creates a simulation without machines. The team may use `gpus_max` accelerators; 0 means no limit.
+    fn new(gpus_max: f64) -> Simulation {
         let teams = BTreeMap::from([("team".into(), TeamQuota::new(0.0, 0.0, 0.0, gpus_max))]);
         let now = Micros::secs(1_000);
-        let mut s = Scheduler::new(config(), teams, TOKEN, 1, now);
-        s.set_machine_types(&[machine_type()]);
-        s.on_list(&[], now);
-        Scenario {
-            s,
+        let mut scheduler = Scheduler::new(config(), teams, TOKEN, 1, now);
+        scheduler.set_machine_types(&[machine_type()]);
+        scheduler.on_list(&[], now);
+        Simulation {
+            scheduler,
             now,
             revision: Revision(100),
             chunks: BTreeMap::new(),
@@ -209,22 +216,23 @@
         }
     }
 
-    /// All controllers restart, or another takes over: a new scheduler gets what was written.
-    fn take_over(&mut self, token: FencingToken) {
-        let teams = self.s.teams.clone();
-        self.s = Scheduler::new(config(), teams, token, 1, self.now);
-        self.s.set_machine_types(&[machine_type()]);
+    /// Replaces the leader by a new one, which starts from the stored state. Also simulates a restart of all controllers.
+    fn change_leader(&mut self, token: FencingToken) {
+        let teams = self.scheduler.teams.clone();
+        self.scheduler = Scheduler::new(config(), teams, token, 1, self.now);
+        self.scheduler.set_machine_types(&[machine_type()]);
         for (id, record) in &self.records {
             let chunks = self.chunks.iter().filter(|((job, _), _)| job == id);
             let chunks = chunks.map(|((_, n), (r, v))| (*n, r.clone(), *v));
-            self.s.add_job(record, None, chunks, self.now);
+            self.scheduler.add_job(record, None, chunks, self.now);
         }
         for (machine, images) in &self.images {
-            self.s.inherit_images(machine, images);
+            self.scheduler.inherit_images(machine, images);
         }
-        self.s.begin_recovery(self.now);
+        self.scheduler.begin_recovery(self.now);
     }
 
+    /// Submits a job and returns its id.
     fn submit(&mut self, spec: JobSpec) -> JobId {
         let id = spec.id.clone();
         self.revision.0 += 1;
@@ -232,12 +240,14 @@
             spec: Rc::new(spec),
             at: self.revision.0,
         };
-        self.s.add_job(&record, None, std::iter::empty(), self.now);
+        self.scheduler
+            .add_job(&record, None, std::iter::empty(), self.now);
         self.records.insert(id.clone(), record);
         id
     }
 
-    fn worker(&mut self, name: &str, zone: &str, spot: bool) {
+    /// Adds a machine and exchanges heartbeats with its worker until it is ready.
+    fn add_worker(&mut self, name: &str, zone: &str, spot: bool) {
         let worker = Worker {
             zone: zone.into(),
             spot,
@@ -245,18 +255,20 @@
             ..Worker::default()
         };
         self.workers.insert(name.into(), worker);
-        // The first answer tells it the token, the next heartbeat shows it.
-        self.beat(name);
-        self.beat(name);
+        // The worker receives the fencing token in the first answer and acknowledges it in the second heartbeat.
+        self.heartbeat(name);
+        self.heartbeat(name);
     }
 
-    fn wait(&mut self, seconds: u64) {
+    /// Advances the virtual time.
+    fn advance(&mut self, seconds: u64) {
         self.now = self.now + Micros::secs(seconds);
     }
 
+    /// Writes all pending changes to the store.
     fn commit(&mut self) {
         loop {
-            let batch = self.s.next_batch(20, 36_000, false);
+            let batch = self.scheduler.next_batch(20, 36_000, false);
             if batch.is_empty() {
                 return;
             }
@@ -271,8 +283,11 @@
                         ..
                     } => {
                         let key = (job.clone(), *chunk);
-                        let before = self.chunks.get(&key).map_or(Revision::NONE, |(_, v)| *v);
-                        assert_eq!(before, *version, "a write must replace what was read");
+                        let stored = self.chunks.get(&key).map_or(Revision::NONE, |(_, v)| *v);
+                        assert_eq!(
+                            stored, *version,
+                            "a write must replace the version that was read"
+                        );
                         self.chunks.insert(key, (record.clone(), self.revision));
                     }
                     Write::Done { job, .. } => {
@@ -280,8 +295,11 @@
                     }
                     Write::DoneAndRemove { job, version, .. } => {
                         let chunk = self.chunks.remove(&(job.clone(), 0));
-                        let before = chunk.map_or(Revision::NONE, |(_, v)| v);
-                        assert_eq!(before, *version, "a write must replace what was read");
+                        let stored = chunk.map_or(Revision::NONE, |(_, v)| v);
+                        assert_eq!(
+                            stored, *version,
+                            "a write must replace the version that was read"
+                        );
                         self.records.remove(job);
                         self.done.insert(job.clone());
                     }
@@ -294,87 +312,104 @@
                     Write::Remove { job, .. } => self.chunks.retain(|(j, _), _| j != job),
                 }
             }
-            self.s.batch_applied(&batch, self.revision);
+            self.scheduler.batch_applied(&batch, self.revision);
         }
     }
 
-    fn round(&mut self) {
-        self.s.run_cycle(self.now);
+    /// Runs a scheduling cycle and writes its changes.
+    fn run_cycle_and_commit(&mut self) {
+        self.scheduler.run_cycle(self.now);
         self.commit();
     }
 
-    /// A heartbeat and the commands of its answer, which do not reach the worker yet.
-    fn ask(&mut self, name: &str) -> Vec<AgentCommand> {
-        let report = self.workers.get_mut(name).expect("a worker").report(name);
-        self.deliver(&report)
+    /// Sends a heartbeat of a worker. Returns the commands in the answer, which are not delivered to the worker.
+    fn send_heartbeat(&mut self, name: &str) -> Vec<AgentCommand> {
+        let heartbeat = self
+            .workers
+            .get_mut(name)
+            .expect("a worker")
+            .next_heartbeat(name);
+        self.handle_heartbeat(&heartbeat)
     }
 
-    fn deliver(&mut self, report: &Heartbeat) -> Vec<AgentCommand> {
-        self.s.on_heartbeat(report, self.via, self.now);
-        self.round();
-        let at = report.position();
-        self.s.commands_for(&report.machine, at, self.now)
+    /// Passes a heartbeat to the scheduler, runs a cycle and returns the commands in the answer.
+    fn handle_heartbeat(&mut self, heartbeat: &Heartbeat) -> Vec<AgentCommand> {
+        self.scheduler.on_heartbeat(heartbeat, self.via, self.now);
+        self.run_cycle_and_commit();
+        let position = heartbeat.position();
+        self.scheduler
+            .commands_for(&heartbeat.machine, position, self.now)
     }
 
-    /// Reports of machines whose names are these numbers, and answers that arrive.
-    fn beat_some(&mut self, numbers: impl IntoIterator<Item = usize>) {
+    /// Sends heartbeats of the machines `m-<number>` and delivers the answers.
+    fn heartbeat_numbered(&mut self, numbers: impl IntoIterator<Item = usize>) {
         for i in numbers {
-            self.beat(&format!("m-{i}"));
+            self.heartbeat(&format!("m-{i}"));
         }
     }
 
-    /// Reports of all machines but the first few, answered after one scheduling cycle for them all, as by a busy leader.
-    fn beat_together(&mut self, but: usize) {
-        let mut reports = Vec::new();
-        for (name, worker) in self.workers.iter_mut().skip(but) {
-            let report = worker.report(name);
-            self.s.on_heartbeat(&report, self.via, self.now);
-            reports.push(report);
+    /// Sends heartbeats of all machines except the first `skipped`, and delivers the answers after a single scheduling
+    /// cycle for all of them, as a busy leader does.
+    fn heartbeat_in_one_cycle(&mut self, skipped: usize) {
+        let mut heartbeats = Vec::new();
+        for (name, worker) in self.workers.iter_mut().skip(skipped) {
+            let heartbeat = worker.next_heartbeat(name);
+            self.scheduler.on_heartbeat(&heartbeat, self.via, self.now);
+            heartbeats.push(heartbeat);
         }
-        self.round();
-        for report in reports {
-            let at = report.position();
-            let orders = self.s.commands_for(&report.machine, at, self.now);
-            let worker = self.workers.get_mut(&report.machine.0).expect("a worker");
-            worker.execute(&orders, self.s.token());
+        self.run_cycle_and_commit();
+        for heartbeat in heartbeats {
+            let position = heartbeat.position();
+            let commands = self
+                .scheduler
+                .commands_for(&heartbeat.machine, position, self.now);
+            let worker = self
+                .workers
+                .get_mut(&heartbeat.machine.0)
+                .expect("a worker");
+            worker.execute(&commands, self.scheduler.token());
         }
     }
 
-    /// A heartbeat whose answer arrives.
-    fn beat(&mut self, name: &str) {
-        let orders = self.ask(name);
-        let token = self.s.token();
+    /// Sends a heartbeat of a worker and delivers the answer.
+    fn heartbeat(&mut self, name: &str) {
+        let commands = self.send_heartbeat(name);
+        let token = self.scheduler.token();
         self.workers
             .get_mut(name)
             .expect("a worker")
-            .execute(&orders, token);
+            .execute(&commands, token);
     }
 
-    fn beat_all(&mut self) {
+    /// Sends a heartbeat of each worker in turn and delivers the answers.
+    fn heartbeat_all(&mut self) {
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
-            self.beat(&name);
+            self.heartbeat(&name);
         }
     }
 
-    /// The lines of the log since the last call, those in detail left out.
+    /// Returns the log lines of level `info` since the last call.
     fn info_lines(&mut self) -> Vec<String> {
-        let events = self.s.take_events().into_iter();
+        let events = self.scheduler.take_events().into_iter();
         let info = events.filter(|e| e.level() == EventLevel::Info);
         info.map(|e| e.to_string()).collect()
     }
 
+    /// Returns the number of tasks on all machines that have not exited.
     fn running(&self) -> usize {
         self.workers.values().map(Worker::running).sum()
     }
 
-    fn free_of(&self, name: &str) -> usize {
-        self.s.machines[&MachineId(name.into())]
+    /// Returns how many more tasks of [`spec`] fit on a machine.
+    fn free_places(&self, name: &str) -> usize {
+        self.scheduler.machines[&MachineId(name.into())]
             .free()
             .count_of(&spec("j-0", 1).need())
     }
 }
 
+/// Returns the end of a job that its user aborted.
 fn aborted(at: u64) -> JobEnd {
     JobEnd {
         outcome: JobOutcome::Aborted,
@@ -391,9 +426,10 @@
     }
 }
 
-fn runs(orders: &[AgentCommand]) -> usize {
-    orders
+/// Returns the number of start commands.
+fn count_starts(commands: &[AgentCommand]) -> usize {
+    commands
         .iter()
-        .filter(|o| matches!(o, AgentCommand::Run { .. }))
+        .filter(|c| matches!(c, AgentCommand::Run { .. }))
         .count()
 }
