--- a/src/scheduler/scenarios/commands.rs
+++ b/src/scheduler/scenarios/commands.rs
@@ -1,4 +1,4 @@
-//! Placing, starting, finishing and stopping.
+//! Placement, start, completion and stop of tasks.
 
 use super::{Simulation, TOKEN, aborted, count_starts, critical_service, spec};
 use crate::scheduler::machine::MAX_TASKS_PER_MACHINE;
@@ -8,7 +8,7 @@
 use crate::units::Micros;
 
 #[test]
-fn a_job_is_placed_on_low_ids_run_and_done() {
+fn job_is_placed_on_machines_with_lowest_ids_and_completes() {
     let mut sim = Simulation::new(0.0);
     for name in ["m-3", "m-1", "m-2"] {
         sim.add_worker(name, "a", false);
@@ -19,88 +19,100 @@
     assert_eq!(sim.workers["m-1"].running(), 2);
     assert_eq!(sim.workers["m-2"].running(), 1);
     assert_eq!(sim.workers["m-3"].running(), 0);
-    for w in sim.workers.values_mut() {
-        w.exit_all(ExitCause::Done);
+    for worker in sim.workers.values_mut() {
+        worker.exit_all(ExitCause::Done);
     }
     sim.heartbeat_all();
     sim.heartbeat_all();
     sim.commit();
     assert!(sim.done.contains(&job));
     assert!(
-        sim.workers.values().all(|w| w.tasks.is_empty()),
-        "all were cleared"
+        sim.workers.values().all(|worker| worker.tasks.is_empty()),
+        "all tasks were cleared"
     );
 }
 
 #[test]
-fn a_task_is_started_only_after_its_placement_is_written() {
+fn worker_starts_task_only_after_placement_is_committed() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     sim.submit(spec("j-1", 1));
     sim.scheduler.run_cycle(sim.now);
     let heartbeat = sim.workers.get_mut("m-1").unwrap().next_heartbeat("m-1");
     sim.scheduler.on_heartbeat(&heartbeat, "n-1", sim.now);
-    let at = heartbeat.position();
+    let position = heartbeat.position();
     assert_eq!(
-        count_starts(&sim.scheduler.commands_for(&heartbeat.machine, at, sim.now)),
+        count_starts(
+            &sim.scheduler
+                .commands_for(&heartbeat.machine, position, sim.now)
+        ),
         0
     );
     sim.commit();
     assert_eq!(
-        count_starts(&sim.scheduler.commands_for(&heartbeat.machine, at, sim.now)),
+        count_starts(
+            &sim.scheduler
+                .commands_for(&heartbeat.machine, position, sim.now)
+        ),
         1
     );
     assert_eq!(
-        count_starts(&sim.scheduler.commands_for(&heartbeat.machine, at, sim.now)),
+        count_starts(
+            &sim.scheduler
+                .commands_for(&heartbeat.machine, position, sim.now)
+        ),
         0,
-        "told once"
+        "the start is sent once"
     );
 }
 
 #[test]
-fn a_lost_answer_is_repeated_with_the_same_attempt_and_a_duplicate_heartbeat_gets_nothing() {
+fn lost_answer_is_repeated_with_the_same_attempt_and_a_duplicate_heartbeat_gets_no_commands() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     sim.submit(spec("j-1", 1));
     sim.run_cycle_and_commit();
-    let lost = sim.send_heartbeat("m-1");
-    assert_eq!(count_starts(&lost), 1);
+    let lost_commands = sim.send_heartbeat("m-1");
+    assert_eq!(count_starts(&lost_commands), 1);
     let heartbeat = sim.workers.get_mut("m-1").unwrap().next_heartbeat("m-1");
     assert_eq!(
         sim.handle_heartbeat(&heartbeat),
-        lost,
-        "the same attempt again"
+        lost_commands,
+        "the start is sent again with the same attempt"
     );
     assert_eq!(
         sim.handle_heartbeat(&heartbeat),
         vec![],
-        "a copy of a report changes nothing"
+        "a duplicate heartbeat has no effect"
     );
 }
 
 #[test]
-fn a_finish_is_cleared_only_after_it_is_written() {
+fn task_is_cleared_only_after_its_completion_is_written() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     sim.submit(spec("j-1", 1));
     sim.run_cycle_and_commit();
     sim.heartbeat("m-1");
-    let w = sim.workers.get_mut("m-1").unwrap();
-    w.exit_all(ExitCause::Done);
-    let heartbeat = w.next_heartbeat("m-1");
+    let worker = sim.workers.get_mut("m-1").unwrap();
+    worker.exit_all(ExitCause::Done);
+    let heartbeat = worker.next_heartbeat("m-1");
     sim.scheduler.on_heartbeat(&heartbeat, "n-1", sim.now);
-    let at = heartbeat.position();
+    let position = heartbeat.position();
     assert_eq!(
-        sim.scheduler.commands_for(&heartbeat.machine, at, sim.now),
+        sim.scheduler
+            .commands_for(&heartbeat.machine, position, sim.now),
         vec![]
     );
     sim.commit();
-    let commands = sim.scheduler.commands_for(&heartbeat.machine, at, sim.now);
+    let commands = sim
+        .scheduler
+        .commands_for(&heartbeat.machine, position, sim.now);
     assert!(matches!(commands[..], [AgentCommand::Clear { .. }]));
 }
 
 #[test]
-fn a_cancelled_job_is_stopped_at_once_and_never_started_again() {
+fn cancelled_job_is_stopped_at_once_and_never_restarted() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     let job = sim.submit(spec("j-1", 4));
@@ -113,7 +125,7 @@
     assert!(
         commands
             .iter()
-            .all(|o| matches!(o, AgentCommand::Stop { save_grace_s, .. } if *save_grace_s == 0.0))
+            .all(|c| matches!(c, AgentCommand::Stop { save_grace_s, .. } if *save_grace_s == 0.0))
     );
     sim.workers
         .get_mut("m-1")
@@ -126,7 +138,7 @@
 }
 
 #[test]
-fn a_cancellation_that_beats_the_write_takes_the_placement_back() {
+fn placement_is_released_if_the_job_is_cancelled_before_it_is_written() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     let job = sim.submit(spec("j-1", 1));
@@ -139,7 +151,7 @@
             ..
         }
     ));
-    // The commit found the end key taken.
+    // The commit failed because the key of the job's end already exists.
     sim.scheduler.batch_not_applied(&batch);
     sim.scheduler.on_job_already_ended(&job);
     sim.commit();
@@ -148,15 +160,20 @@
 }
 
 #[test]
-fn a_machine_that_does_not_hear_of_a_cancellation_is_terminated_in_time() {
+fn machine_that_does_not_receive_a_cancellation_is_terminated_before_the_timeout() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     let job = sim.submit(spec("j-1", 1));
     sim.run_cycle_and_commit();
     sim.heartbeat("m-1");
     sim.scheduler.end_job(&job, aborted(0));
-    let half = Micros::secs(30).0;
-    assert!(sim.scheduler.plan_fleet(sim.now, half).terminate.is_empty());
+    let halfway_at = Micros::secs(30).0;
+    assert!(
+        sim.scheduler
+            .plan_fleet(sim.now, halfway_at)
+            .terminate
+            .is_empty()
+    );
     let overdue_at = Micros::secs(37).0;
     assert_eq!(
         sim.scheduler.plan_fleet(sim.now, overdue_at).terminate,
@@ -165,7 +182,7 @@
 }
 
 #[test]
-fn a_stopped_task_counts_towards_the_limit_until_it_is_gone() {
+fn stopping_task_counts_towards_the_team_limit_until_it_is_gone() {
     let mut sim = Simulation::new(2.0);
     sim.add_worker("m-1", "a", false);
     sim.add_worker("m-2", "a", false);
@@ -175,7 +192,7 @@
     sim.submit(spec("j-2", 2));
     sim.scheduler.end_job(&first, aborted(0));
     sim.run_cycle_and_commit();
-    // m-2 has room, but the team's two tasks on m-1 are not proven to be gone.
+    // m-2 has free resources, but the team's two tasks on m-1 are not proven to be gone.
     sim.heartbeat("m-2");
     assert_eq!(sim.workers["m-2"].running(), 0);
     sim.heartbeat("m-1");
@@ -187,7 +204,7 @@
 }
 
 #[test]
-fn spread_and_together_hold_for_every_task_that_may_be_there() {
+fn spread_and_together_constraints_hold_for_every_placed_task() {
     let mut sim = Simulation::new(0.0);
     for i in 0..4 {
         sim.add_worker(&format!("m-a{i}"), "a", false);
@@ -204,8 +221,8 @@
     sim.run_cycle_and_commit();
     sim.heartbeat_all();
     let in_zone = |sim: &Simulation, job: &str, zone: &str| -> usize {
-        let there = sim.workers.values().filter(|w| w.zone == zone);
-        there
+        let workers_in_zone = sim.workers.values().filter(|w| w.zone == zone);
+        workers_in_zone
             .flat_map(|w| w.tasks.keys())
             .filter(|(task, _)| task.starts_with(job))
             .count()
@@ -213,14 +230,14 @@
     assert_eq!(
         in_zone(&sim, "j-1/", "a"),
         3,
-        "five may have three in a zone"
+        "at most three of five tasks in one zone"
     );
     assert_eq!(in_zone(&sim, "j-1/", "b"), 2);
     assert_eq!(in_zone(&sim, "j-2/", "a"), 3);
 }
 
 #[test]
-fn a_notice_sends_saving_tasks_away_and_takes_no_more() {
+fn machine_with_preemption_notice_is_drained_and_gets_no_offers() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", true);
     sim.add_worker("m-2", "a", true);
@@ -236,7 +253,7 @@
 }
 
 #[test]
-fn a_hundred_thousand_tasks_fit_into_values_and_transactions() {
+fn records_of_100_000_tasks_fit_the_limits_of_values_and_transactions() {
     let mut sim = Simulation::new(0.0);
     for i in 0..40 {
         sim.add_worker(&format!("m-{i:06}"), "a", false);
@@ -266,16 +283,16 @@
 }
 
 #[test]
-fn a_running_task_without_placement_is_adopted_not_started_elsewhere() {
+fn running_task_without_placement_is_adopted_and_not_started_elsewhere() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     sim.add_worker("m-2", "a", false);
-    let stray = ("j-1/0".to_owned(), 5);
+    let unplaced_task = ("j-1/0".to_owned(), 5);
     sim.workers
         .get_mut("m-2")
         .unwrap()
         .tasks
-        .insert(stray, (TaskState::Running, None));
+        .insert(unplaced_task, (TaskState::Running, None));
     sim.submit(spec("j-1", 1));
     let heartbeat = sim.workers.get_mut("m-2").unwrap().next_heartbeat("m-2");
     sim.scheduler.on_heartbeat(&heartbeat, "n-1", sim.now);
@@ -285,9 +302,10 @@
     assert_eq!(sim.workers["m-2"].running(), 1);
 }
 
-// Guards against gangs whose tasks wait for each other in vain: they find each other by their common attempt.
+// The tasks of a gang find each other by their common attempt number. With different ones, they would wait for each
+// other forever.
 #[test]
-fn a_gang_starts_whole_with_one_attempt_and_again_whole_when_it_lost_a_member() {
+fn gang_starts_whole_with_one_attempt_and_restarts_whole_after_losing_a_task() {
     let mut sim = Simulation::new(0.0);
     let gang = JobSpec {
         shape: Shape::Gang,
@@ -299,7 +317,7 @@
     sim.submit(gang);
     sim.run_cycle_and_commit();
     sim.heartbeat_all();
-    assert_eq!(sim.running(), 0, "no zone has room for all three");
+    assert_eq!(sim.running(), 0, "no zone has free resources for all three");
     sim.add_worker("m-3", "b", false);
     sim.advance(1);
     sim.run_cycle_and_commit();
@@ -307,14 +325,18 @@
     let attempts = |sim: &Simulation| -> Vec<u64> {
         let tasks = sim.workers.values().flat_map(|w| w.tasks.iter());
         tasks
-            .filter(|(_, s)| s.0 == TaskState::Running)
-            .map(|((_, a), _)| *a)
+            .filter(|(_, status)| status.0 == TaskState::Running)
+            .map(|((_, attempt), _)| *attempt)
             .collect()
     };
-    let first = attempts(&sim);
-    assert_eq!(first.len(), 3);
-    assert!(first.iter().all(|a| *a == first[0]));
-    assert_eq!(sim.workers["m-1"].running(), 0, "together in one zone");
+    let first_attempts = attempts(&sim);
+    assert_eq!(first_attempts.len(), 3);
+    assert!(
+        first_attempts
+            .iter()
+            .all(|attempt| *attempt == first_attempts[0])
+    );
+    assert_eq!(sim.workers["m-1"].running(), 0, "all tasks are in one zone");
     sim.workers
         .get_mut("m-3")
         .unwrap()
@@ -325,14 +347,19 @@
         sim.run_cycle_and_commit();
     }
     sim.heartbeat_all();
-    let second = attempts(&sim);
-    assert_eq!(second.len(), 3);
-    assert!(second.iter().all(|a| *a == second[0] && *a > first[0]));
+    let second_attempts = attempts(&sim);
+    assert_eq!(second_attempts.len(), 3);
+    assert!(
+        second_attempts
+            .iter()
+            .all(|attempt| *attempt == second_attempts[0] && *attempt > first_attempts[0])
+    );
 }
 
-// Guards against tasks that wait for the end of a cut on machines beyond it, while machines on this side have room.
+// Prevents tasks from waiting for the end of a partition on unreachable machines while reachable machines have free
+// resources.
 #[test]
-fn unsent_placements_of_an_unreachable_machine_go_elsewhere() {
+fn unsent_placements_of_an_unreachable_machine_are_moved_elsewhere() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler.config.idle_timeout = Some(Micros::secs(10_000));
     sim.add_worker("m-1", "b", false);
@@ -350,7 +377,7 @@
     sim.run_cycle_and_commit();
     sim.heartbeat("m-2");
     assert_eq!(sim.workers["m-2"].running(), 2);
-    // It takes offers again once it reports here, and what runs there is left alone.
+    // The machine takes offers again once its heartbeats reach this controller. Tasks that run there are not stopped.
     sim.submit(spec("j-2", 2));
     sim.heartbeat("m-1");
     sim.advance(1);
@@ -358,36 +385,41 @@
     assert_eq!(sim.workers["m-1"].running(), 2);
 }
 
-// Guards against what matters less taking the writes that users and workers wait for.
+// Prevents writes of low urgency from using up the write rate for those that users and workers wait for.
 #[test]
-fn where_writes_are_short_images_and_old_records_wait() {
+fn images_and_removals_of_old_records_wait_while_writes_are_limited() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     let job = sim.submit(spec("j-1", 1));
     sim.run_cycle_and_commit();
     sim.heartbeat("m-1");
-    let running = sim
+    let running_heartbeat = sim
         .workers
         .get_mut("m-1")
         .expect("a worker")
         .next_heartbeat("m-1");
-    sim.scheduler.on_heartbeat(&running, "n-1", sim.now);
+    sim.scheduler
+        .on_heartbeat(&running_heartbeat, "n-1", sim.now);
     assert_eq!(sim.scheduler.next_batch(20, 36_000, true), vec![]);
     sim.scheduler.end_job(&job, aborted(0));
     sim.workers
         .get_mut("m-1")
         .expect("a worker")
         .exit_all(ExitCause::Stopped);
-    let stopped = sim
+    let exited_heartbeat = sim
         .workers
         .get_mut("m-1")
         .expect("a worker")
         .next_heartbeat("m-1");
-    sim.scheduler.on_heartbeat(&stopped, "n-1", sim.now);
-    let urgent = sim.scheduler.next_batch(20, 36_000, true);
-    assert!(matches!(urgent[..], [Write::Chunk { .. }]), "{urgent:?}");
+    sim.scheduler
+        .on_heartbeat(&exited_heartbeat, "n-1", sim.now);
+    let urgent_batch = sim.scheduler.next_batch(20, 36_000, true);
+    assert!(
+        matches!(urgent_batch[..], [Write::Chunk { .. }]),
+        "{urgent_batch:?}"
+    );
     sim.revision.0 += 1;
-    sim.scheduler.batch_applied(&urgent, sim.revision);
+    sim.scheduler.batch_applied(&urgent_batch, sim.revision);
     assert!(matches!(
         sim.scheduler.next_batch(20, 36_000, false)[..],
         [Write::Images { .. }]
@@ -398,9 +430,9 @@
     ));
 }
 
-// Guards against a machine whose heartbeat is longer than a body may be.
+// Prevents a machine from having so many tasks that its heartbeat exceeds the maximum size of a request body.
 #[test]
-fn a_machine_holds_no_more_tasks_than_a_heartbeat_can_name() {
+fn machine_gets_no_more_tasks_than_fit_in_a_heartbeat() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", true);
     let tiny = JobSpec {
@@ -415,9 +447,9 @@
         sim.heartbeat("m-1");
     }
     assert_eq!(sim.workers["m-1"].running(), MAX_TASKS_PER_MACHINE);
-    let rent = sim.scheduler.plan_fleet(sim.now, 0).provision;
-    let count: usize = rent.iter().map(|w| w.count).sum();
-    assert_eq!(count, 3, "for 1,100 more");
+    let requests = sim.scheduler.plan_fleet(sim.now, 0).provision;
+    let count: usize = requests.iter().map(|request| request.count).sum();
+    assert_eq!(count, 3, "for the other 1,100 tasks");
     sim.workers
         .get_mut("m-1")
         .unwrap()
@@ -426,16 +458,16 @@
     sim.handle_heartbeat(&heartbeat);
     let body = serde_json::to_string(&heartbeat).expect("JSON");
     assert!(body.len() < 64 * 1024 / 2, "{}", body.len());
-    let named = sim.scheduler.machines[&MachineId("m-1".into())].reported_tasks();
+    let reported = sim.scheduler.machines[&MachineId("m-1".into())].reported_tasks();
     assert!(
-        named <= MAX_TASKS_PER_MACHINE,
-        "what is not cleared is reported: {named}"
+        reported <= MAX_TASKS_PER_MACHINE,
+        "exited tasks are reported until they are cleared: {reported}"
     );
 }
 
-// Guards against a swarm of tiny jobs using up the changes that everything else needs.
+// Prevents thousands of jobs with one task each from using up the write rate.
 #[test]
-fn a_job_of_one_task_costs_few_changes_and_ends_in_one_step() {
+fn job_with_one_task_ends_in_a_single_write_of_three_operations() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", true);
     let job = sim.submit(spec("j-1", 1));
@@ -452,10 +484,12 @@
         "{batch:?}"
     );
     assert_eq!(batch[0].ops(), 3);
-    // Before it is written its worker keeps the result; where its user cancelled it first, that is how it ended.
-    let at = heartbeat.position();
+    // The worker keeps the exited task until its completion is written. If the user cancels the job before that, the
+    // job counts as cancelled.
+    let position = heartbeat.position();
     assert_eq!(
-        sim.scheduler.commands_for(&heartbeat.machine, at, sim.now),
+        sim.scheduler
+            .commands_for(&heartbeat.machine, position, sim.now),
         vec![]
     );
     sim.scheduler.batch_not_applied(&batch);
@@ -467,13 +501,16 @@
             .iter()
             .any(|w| matches!(w, Write::DoneAndRemove { .. } | Write::Done { .. }))
     );
-    let clear = sim.scheduler.commands_for(&heartbeat.machine, at, sim.now);
-    assert!(matches!(&clear[..], [AgentCommand::Clear { .. }]));
+    let commands = sim
+        .scheduler
+        .commands_for(&heartbeat.machine, position, sim.now);
+    assert!(matches!(&commands[..], [AgentCommand::Clear { .. }]));
 }
 
-// Guards against a critical task's placement that waits behind a guest's tens of thousands.
+// Prevents the placement of a critical task from waiting behind tens of thousands of placements of low-priority
+// jobs.
 #[test]
-fn what_is_critical_is_written_first() {
+fn placements_of_critical_jobs_are_written_first() {
     let mut sim = Simulation::new(0.0);
     for i in 1..=30 {
         sim.add_worker(&format!("m-{i:02}"), "a", false);
--- a/src/scheduler/scenarios/failure_detection.rs
+++ b/src/scheduler/scenarios/failure_detection.rs
@@ -1,4 +1,4 @@
-//! Who is dead, and who only out of reach.
+//! Distinction between failed machines and machines that are alive but unreachable.
 
 use super::{
     Simulation, TOKEN, Worker, aborted, config, controller, count_starts, spec, token_after,
@@ -17,26 +17,30 @@
     sim.heartbeat("m-1");
     sim.advance(30);
     sim.heartbeat("m-2");
-    assert_eq!(sim.workers["m-2"].running(), 0, "silence is no proof");
+    assert_eq!(
+        sim.workers["m-2"].running(),
+        0,
+        "a heartbeat timeout does not prove that the task has stopped"
+    );
     let plan = sim.scheduler.plan_fleet(sim.now, 0);
     assert_eq!(plan.terminate, vec![MachineId("m-1".into())]);
     sim.heartbeat("m-2");
     assert_eq!(
         sim.workers["m-2"].running(),
         0,
-        "nor is the request to return it"
+        "nor does the request to terminate the machine"
     );
     sim.scheduler.on_terminated(&plan.terminate, sim.now);
     sim.run_cycle_and_commit();
     sim.heartbeat("m-2");
     assert_eq!(sim.workers["m-2"].running(), 1);
-    // A heartbeat that was held up on the way does not bring the machine back.
+    // A delayed heartbeat does not add the machine again.
     let commands = sim.send_heartbeat("m-1");
     assert_eq!(commands, vec![]);
 }
 
 #[test]
-fn a_zone_that_times_out_together_is_taken_for_a_partition() {
+fn simultaneous_timeout_of_a_zone_is_treated_as_a_partition() {
     let mut sim = Simulation::new(0.0);
     for i in 0..8 {
         sim.add_worker(&format!("m-a{i}"), "a", false);
@@ -47,25 +51,25 @@
         sim.heartbeat(&format!("m-a{i}"));
     }
     assert!(sim.scheduler.plan_fleet(sim.now, 0).terminate.is_empty());
-    // Another controller hears half of them; of the others the leases have ended in the end.
+    // Another controller receives heartbeats of half of them. The leases of the others expire.
     sim.advance(25);
-    let heard: Vec<MachineId> = (0..4).map(|i| MachineId(format!("m-b{i}"))).collect();
-    sim.scheduler.on_contact("n-2", &heard, sim.now);
+    let contacted: Vec<MachineId> = (0..4).map(|i| MachineId(format!("m-b{i}"))).collect();
+    sim.scheduler.on_contact("n-2", &contacted, sim.now);
     for i in 0..8 {
         sim.heartbeat(&format!("m-a{i}"));
     }
-    let given: Vec<String> = sim
+    let terminated: Vec<String> = sim
         .scheduler
         .plan_fleet(sim.now, 0)
         .terminate
         .into_iter()
         .map(|m| m.0)
         .collect();
-    assert_eq!(given, ["m-b4", "m-b5", "m-b6", "m-b7"]);
+    assert_eq!(terminated, ["m-b4", "m-b5", "m-b6", "m-b7"]);
 }
 
 #[test]
-fn a_wave_of_preempted_spot_machines_is_not_taken_for_a_partition() {
+fn preemption_of_many_spot_machines_is_not_treated_as_a_partition() {
     let mut sim = Simulation::new(0.0);
     for i in 0..8 {
         sim.add_worker(&format!("m-a{i}"), "a", i >= 2);
@@ -77,7 +81,7 @@
 }
 
 #[test]
-fn a_machine_missing_from_the_list_is_lost_only_when_the_list_cannot_be_too_old() {
+fn machine_missing_from_the_list_is_lost_only_if_the_list_cannot_predate_it() {
     let mut sim = Simulation::new(0.0);
     let listed = |name: &str, age_s: f64| Listed {
         machine: MachineId(name.into()),
@@ -96,18 +100,23 @@
     );
 }
 
-// Guards against giving up live machines in a cut: a worker may try two controllers in vain, five seconds each.
+// Prevents live machines from being terminated during a partition: a worker may first try two unreachable controllers,
+// which takes five seconds each.
 #[test]
-fn the_grace_period_is_longer_while_controllers_are_unreachable() {
-    let quiet_until_given_up = |silent: &[(&str, &str)]| {
+fn grace_period_is_longer_while_controllers_are_unreachable() {
+    let seconds_until_termination = |unreachable: &[(&str, &str)]| {
         let mut controllers = vec![controller("n-0", "a", true), controller("n-1", "a", true)];
         controllers.push(controller("n-2", "b", true));
-        controllers.extend(silent.iter().map(|(n, z)| controller(n, z, false)));
+        controllers.extend(
+            unreachable
+                .iter()
+                .map(|(node, zone)| controller(node, zone, false)),
+        );
         let mut sim = Simulation::new(0.0);
         for i in 0..8 {
             sim.add_worker(&format!("m-{i}"), "a", false);
         }
-        // Long enough in office to know whether all is well.
+        // Long enough for the leader to consider the controllers stable.
         for _ in 0..20 {
             sim.advance(1);
             sim.scheduler.set_controllers(&controllers, sim.now);
@@ -123,21 +132,22 @@
         }
         30
     };
-    assert_eq!(quiet_until_given_up(&[]), 7);
-    assert_eq!(quiet_until_given_up(&[("n-3", "b")]), 12);
-    assert_eq!(quiet_until_given_up(&[("n-3", "a")]), 17);
-    assert_eq!(quiet_until_given_up(&[("n-3", "b"), ("n-4", "b")]), 17);
+    assert_eq!(seconds_until_termination(&[]), 7);
+    assert_eq!(seconds_until_termination(&[("n-3", "b")]), 12);
+    assert_eq!(seconds_until_termination(&[("n-3", "a")]), 17);
+    assert_eq!(seconds_until_termination(&[("n-3", "b"), ("n-4", "b")]), 17);
 }
 
-// Guards against giving up a cut zone a few machines at a time, as they fall silent one after the other.
+// Prevents a partitioned zone from being terminated a few machines at a time as their heartbeats stop one after the
+// other.
 #[test]
-fn a_partitioned_zone_is_not_terminated_piece_by_piece() {
+fn partitioned_zone_is_not_terminated_a_few_machines_at_a_time() {
     let mut sim = Simulation::new(0.0);
     for i in 0..12 {
         sim.add_worker(&format!("m-a{i:02}"), "a", false);
         sim.add_worker(&format!("m-b{i:02}"), "b", false);
     }
-    let mut given = 0;
+    let mut terminated = 0;
     for second in 0..20 {
         sim.advance(1);
         for i in 0..12 {
@@ -147,24 +157,25 @@
             }
         }
         let plan = sim.scheduler.plan_fleet(sim.now, 0);
-        given += plan.terminate.len();
+        terminated += plan.terminate.len();
         sim.scheduler.on_terminated(&plan.terminate, sim.now);
     }
-    assert!((1..=3).contains(&given), "{given} given up");
+    assert!((1..=3).contains(&terminated), "{terminated} terminated");
 }
 
-/// Reports that go out, each by another controller as nobody answers, while the commands of their answers are lost.
-fn unheard(sim: &mut Simulation, name: &str, nth: usize) -> Vec<AgentCommand> {
-    sim.via = ["n-1", "n-2", "n-3"][nth % 3];
+/// Sends a heartbeat whose answer is lost. As the worker gets no answers, it sends each heartbeat through another
+/// controller.
+fn heartbeat_with_lost_answer(sim: &mut Simulation, name: &str, index: usize) -> Vec<AgentCommand> {
+    sim.via = ["n-1", "n-2", "n-3"][index % 3];
     let commands = sim.send_heartbeat(name);
     sim.via = "n-1";
     commands
 }
 
-// Guards against a machine whose reports arrive while answers do not reach it: silence never shows, and id order would
-// send the same task there for ever.
+// Heartbeats of a machine may arrive while answers do not reach it. Without detection of this, the machine would never
+// time out, and offers in id order would place the same task there forever.
 #[test]
-fn a_machine_that_acknowledges_no_answer_gets_no_offers_and_is_terminated() {
+fn machine_that_acknowledges_no_answers_gets_no_offers_and_is_terminated() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler.config.idle_timeout = Some(Micros::secs(10_000));
     for i in 1..9 {
@@ -172,24 +183,31 @@
     }
     sim.submit(spec("j-1", 1));
     sim.run_cycle_and_commit();
-    assert_eq!(count_starts(&unheard(&mut sim, "m-1", 0)), 1);
+    assert_eq!(
+        count_starts(&heartbeat_with_lost_answer(&mut sim, "m-1", 0)),
+        1
+    );
     sim.advance(5);
     assert_eq!(
-        count_starts(&unheard(&mut sim, "m-1", 1)),
+        count_starts(&heartbeat_with_lost_answer(&mut sim, "m-1", 1)),
         1,
-        "one lost answer says nothing"
+        "a single lost answer does not count"
     );
     sim.advance(5);
     assert_eq!(
-        count_starts(&unheard(&mut sim, "m-1", 2)),
+        count_starts(&heartbeat_with_lost_answer(&mut sim, "m-1", 2)),
         0,
-        "two in a row do"
+        "two consecutive lost answers do"
     );
     sim.advance(1);
     sim.heartbeat_numbered(2..9);
-    assert_eq!(sim.workers["m-2"].running(), 1, "its start was proven lost");
-    // A task that it does run, and that must stop, is lost on deaf ears as well; then the machine is terminated.
-    let stuck = sim.submit(spec("j-2", 40));
+    assert_eq!(
+        sim.workers["m-2"].running(),
+        1,
+        "the start sent to m-1 is known to be lost"
+    );
+    // The stop of a task that does run there does not arrive either, so the machine is terminated.
+    let running_job = sim.submit(spec("j-2", 40));
     sim.run_cycle_and_commit();
     sim.heartbeat("m-1");
     assert_eq!(sim.workers["m-1"].running(), 0);
@@ -198,31 +216,31 @@
     sim.heartbeat_all();
     assert!(
         sim.workers["m-1"].running() > 0,
-        "answers arrive again, so it takes offers again"
+        "answers arrive again, so the machine takes offers again"
     );
-    sim.scheduler.end_job(&stuck, aborted(0));
+    sim.scheduler.end_job(&running_job, aborted(0));
     let mut waited = 0;
     while sim.scheduler.plan_fleet(sim.now, 0).terminate.is_empty() {
         sim.advance(5);
         waited += 5;
-        unheard(&mut sim, "m-1", waited);
+        heartbeat_with_lost_answer(&mut sim, "m-1", waited);
         sim.heartbeat_numbered(2..9);
         assert!(
             waited <= 30,
-            "its reports must not count as signs of life for ever"
+            "its heartbeats must not count as contact forever"
         );
     }
-    let gone = sim.scheduler.plan_fleet(sim.now, 0).terminate;
-    assert_eq!(gone, [MachineId("m-1".into())]);
+    let terminated = sim.scheduler.plan_fleet(sim.now, 0).terminate;
+    assert_eq!(terminated, [MachineId("m-1".into())]);
     assert!(
         sim.workers["m-1"].running() > 0,
-        "and until then nothing of it ran elsewhere"
+        "until then, its tasks do not run elsewhere"
     );
 }
 
-// Guards against emptying a zone behind a cut through which only one direction passes.
+// Prevents a zone from being terminated behind a partition that lets messages pass in one direction only.
 #[test]
-fn many_machines_that_acknowledge_no_answer_are_taken_for_a_partition() {
+fn many_machines_that_acknowledge_no_answers_are_treated_as_a_partition() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler.config.idle_timeout = Some(Micros::secs(10_000));
     for i in 0..8 {
@@ -237,7 +255,7 @@
         for i in 0..8 {
             let name = format!("m-{i}");
             if i < 4 {
-                unheard(&mut sim, &name, second / 5);
+                heartbeat_with_lost_answer(&mut sim, &name, second / 5);
             } else {
                 sim.heartbeat(&name);
             }
@@ -249,13 +267,13 @@
     }
 }
 
-// Guards against late copies of heartbeats: of a machine returned, of an earlier state, of an earlier agent epoch.
+// Delayed duplicates of heartbeats may come from a terminated machine, an earlier state or an earlier agent epoch.
 #[test]
-fn stale_copies_of_heartbeats_prove_nothing_revive_nothing_and_count_nothing_twice() {
+fn stale_heartbeats_release_no_tasks_add_no_machines_and_count_no_completion_twice() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     sim.add_worker("m-2", "a", false);
-    let before_any = sim
+    let heartbeat_without_tasks = sim
         .workers
         .get_mut("m-1")
         .expect("a worker")
@@ -265,17 +283,21 @@
     sim.heartbeat("m-1");
     sim.heartbeat("m-1");
     assert_eq!(sim.workers["m-1"].running(), 2);
-    // To the same leader: the copy lacks the tasks, which proves nothing.
+    // The same leader receives a duplicate that lacks the tasks, which does not prove that they are gone.
     sim.advance(40);
-    assert_eq!(sim.handle_heartbeat(&before_any), vec![]);
+    assert_eq!(sim.handle_heartbeat(&heartbeat_without_tasks), vec![]);
     assert_eq!(sim.scheduler.jobs[&JobId("j-1".into())].live, 2);
-    // To a new leader that has not heard the machine: no proof, no sign that it is there, no commands to start.
+    // A new leader without any heartbeat of the machine receives it: it proves neither that the tasks are gone nor that
+    // the machine is alive, and no start is sent.
     sim.submit(spec("j-2", 2));
     sim.change_leader(token_after(TOKEN, 1));
-    assert_eq!(count_starts(&sim.handle_heartbeat(&before_any)), 0);
+    assert_eq!(
+        count_starts(&sim.handle_heartbeat(&heartbeat_without_tasks)),
+        0
+    );
     assert_eq!(sim.scheduler.jobs[&JobId("j-1".into())].live, 2);
-    // A machine that the earlier leader returned is not brought back to take offers.
-    let mut lost = Worker {
+    // A machine that the earlier leader terminated does not take offers again.
+    let mut terminated_worker = Worker {
         zone: "a".into(),
         agent_epoch: 1,
         token: TOKEN,
@@ -283,46 +305,44 @@
     };
     for _ in 0..4 {
         sim.advance(1);
-        let copy = lost.next_heartbeat("m-0");
-        assert_eq!(count_starts(&sim.handle_heartbeat(&copy)), 0);
+        let duplicate = terminated_worker.next_heartbeat("m-0");
+        assert_eq!(count_starts(&sim.handle_heartbeat(&duplicate)), 0);
     }
     assert!(
         sim.scheduler.machines[&MachineId("m-0".into())]
             .reserved
             .is_empty()
     );
-    // A finish told again, in a copy and from an earlier agent epoch, counts once; its clear goes out as ever.
+    // A completion that is reported again, in a duplicate or from an earlier agent epoch, counts once and is cleared as
+    // usual.
     sim.heartbeat_all();
     sim.workers
         .get_mut("m-1")
         .expect("a worker")
         .exit_all(ExitCause::Done);
-    let finished = sim
+    let heartbeat_with_completion = sim
         .workers
         .get_mut("m-1")
         .expect("a worker")
         .next_heartbeat("m-1");
-    sim.handle_heartbeat(&finished);
-    sim.handle_heartbeat(&finished);
+    sim.handle_heartbeat(&heartbeat_with_completion);
+    sim.handle_heartbeat(&heartbeat_with_completion);
     assert_eq!(sim.done.len(), 1);
     let job = JobId("j-1".into());
-    assert!(
-        !sim.scheduler.jobs.contains_key(&job),
-        "nothing is left of it"
-    );
+    assert!(!sim.scheduler.jobs.contains_key(&job), "the job is removed");
     sim.change_leader(token_after(TOKEN, 2));
-    sim.handle_heartbeat(&finished);
+    sim.handle_heartbeat(&heartbeat_with_completion);
     assert!(!sim.scheduler.jobs.contains_key(&job) && sim.done.len() == 1);
-    // From a machine that this leader returned: nothing at all.
-    let gone = MachineId("m-1".into());
+    // Heartbeats of a machine that this leader terminated have no effect.
+    let terminated = MachineId("m-1".into());
     sim.scheduler
-        .on_terminated(std::slice::from_ref(&gone), sim.now);
-    assert_eq!(sim.handle_heartbeat(&finished), vec![]);
-    assert!(!sim.scheduler.machines.contains_key(&gone));
+        .on_terminated(std::slice::from_ref(&terminated), sim.now);
+    assert_eq!(sim.handle_heartbeat(&heartbeat_with_completion), vec![]);
+    assert!(!sim.scheduler.machines.contains_key(&terminated));
 }
 
-// Guards against giving up the workers of a controller that lost the state service and the other controllers, but keeps
-// its workers alive; and against keeping for ever what died behind it.
+// A controller that has lost the key-value store and the other controllers keeps its workers alive: they must not be
+// terminated. Machines that fail behind it must not be kept forever either.
 #[test]
 fn suspicion_is_suppressed_for_workers_of_an_isolated_controller() {
     let mut sim = Simulation::new(0.0);
@@ -331,27 +351,27 @@
         sim.add_worker(&format!("m-{i}"), "a", false);
     }
     let mut controllers = vec![controller("n-0", "a", true), controller("n-1", "a", true)];
-    let beat = |sim: &mut Simulation, nth: usize| {
-        sim.via = if nth == 0 { "n-1" } else { "n-0" };
-        sim.heartbeat(&format!("m-{nth}"));
+    let send = |sim: &mut Simulation, index: usize| {
+        sim.via = if index == 0 { "n-1" } else { "n-0" };
+        sim.heartbeat(&format!("m-{index}"));
     };
-    (0..10).for_each(|i| beat(&mut sim, i));
+    (0..10).for_each(|i| send(&mut sim, i));
     controllers[1].is_reachable = false;
     for _ in 0..30 {
         sim.advance(3);
         sim.scheduler.set_controllers(&controllers, sim.now);
-        (1..10).for_each(|i| beat(&mut sim, i));
+        (1..10).for_each(|i| send(&mut sim, i));
         assert!(sim.scheduler.plan_fleet(sim.now, 0).terminate.is_empty());
     }
-    // Once the controller answers again, its workers have the time to be heard.
+    // Once the controller is reachable again, its workers get time to make contact.
     controllers[1].is_reachable = true;
     sim.advance(1);
     sim.scheduler.set_controllers(&controllers, sim.now);
     assert!(
         sim.scheduler.plan_fleet(sim.now, 0).terminate.is_empty(),
-        "the cut has only just ended"
+        "the partition has only just ended"
     );
-    // One that the cloud says has failed is not waited for.
+    // A machine that the cloud reports as failed is terminated at once.
     let listed = (0..10).map(|i| Listed {
         machine: MachineId(format!("m-{i}")),
         machine_type: "rig".into(),
@@ -371,8 +391,8 @@
     );
 }
 
-// Guards against what gave up 186 live machines on a quiet day: reports through one controller were held up for a few
-// seconds, and its workers, fewer than a quarter of all, were taken to have died.
+// A leader terminated 186 live machines without any outage: heartbeats through one controller were delayed by a few
+// seconds, and its workers, fewer than a quarter of all, were considered failed.
 #[test]
 fn many_late_workers_of_one_controller_get_the_grace_period_of_a_reconnect() {
     let mut sim = Simulation::new(0.0);
@@ -392,15 +412,16 @@
             sim.via = ["n-1", "n-2", "n-3", "n-4", "n-5"][i % 5];
             sim.heartbeat(&format!("m-{i:02}"));
         }
-        let given = sim.scheduler.plan_fleet(sim.now, 0).terminate;
-        assert!(given.is_empty(), "{given:?} after {second} s");
+        let terminated = sim.scheduler.plan_fleet(sim.now, 0).terminate;
+        assert!(terminated.is_empty(), "{terminated:?} after {second} s");
     }
 }
 
-// Guards against what gave up 235 live machines: the leader held most workers of a large fleet, lost the way to all of
-// them, and every one of them late by a few seconds was taken to have died while the others were not late yet.
+// A leader terminated 235 live machines: most workers of a large fleet sent their heartbeats to it directly, and it
+// lost contact with all of them at once. Each one that was late by a few seconds was considered failed while the others
+// were not late yet.
 #[test]
-fn a_stopped_path_is_no_failure_of_its_machines() {
+fn stopped_path_does_not_count_as_failure_of_its_machines() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler.config.idle_timeout = Some(Micros::secs(10_000));
     let via = |i: usize| if i.is_multiple_of(10) { "n-1" } else { "" };
@@ -409,27 +430,28 @@
         sim.add_worker(&format!("m-{i:03}"), ["a", "b"][i % 2], false);
     }
     let controllers = [controller("n-0", "a", true), controller("n-1", "b", true)];
-    let mut given = Vec::new();
+    let mut terminated = Vec::new();
     for second in 0..60 {
         sim.advance(1);
         sim.scheduler.set_controllers(&controllers, sim.now);
-        // From the 30th second on the leader hears its own workers no more; they find the other one after 12 s. One
-        // that reports there died at the same time.
-        let lost = |i: usize| via(i).is_empty() && second < 42 || i == 10;
-        for i in (0..300).filter(|i| i % 3 == second % 3 && (second < 30 || !lost(*i))) {
+        // From second 30 on, the leader gets no heartbeats of its own workers; they reconnect to the other controller
+        // after 12 s. One of the workers of that controller fails at second 30 too.
+        let is_cut_off = |i: usize| via(i).is_empty() && second < 42 || i == 10;
+        for i in (0..300).filter(|i| i % 3 == second % 3 && (second < 30 || !is_cut_off(*i))) {
             sim.via = if second < 30 { via(i) } else { "n-1" };
             sim.heartbeat(&format!("m-{i:03}"));
         }
         let plan = sim.scheduler.plan_fleet(sim.now, 0);
-        given.extend(plan.terminate.iter().map(|m| (m.clone(), second)));
+        terminated.extend(plan.terminate.iter().map(|m| (m.clone(), second)));
         sim.scheduler.on_terminated(&plan.terminate, sim.now);
     }
-    assert_eq!(given, vec![(MachineId("m-010".into()), 35)]);
+    assert_eq!(terminated, vec![(MachineId("m-010".into()), 35)]);
 }
 
-// Guards against giving up the first quarter of a cut zone that has no controller, which is late a little before the rest.
+// Prevents the first quarter of the machines in a partitioned zone without a controller, which are late a little before
+// the rest, from being terminated as separate failures.
 #[test]
-fn an_unreachable_zone_is_not_terminated_before_its_leases_end() {
+fn unreachable_zone_is_not_terminated_before_its_leases_expire() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler.config.idle_timeout = Some(Micros::secs(10_000));
     sim.scheduler.config.heartbeat_interval = Micros::secs(6);
@@ -437,26 +459,29 @@
         sim.add_worker(&format!("m-{i}"), ["a", "a", "b"][i % 3], false);
     }
     let controllers = [controller("n-0", "a", true), controller("n-1", "a", true)];
-    let mut first = 0;
+    let mut terminated_after = 0;
     for second in 0..80 {
         sim.advance(1);
         sim.scheduler.set_controllers(&controllers, sim.now);
-        // Every machine reports every sixth second; from the 30th on those of the other zone are not heard.
-        let heard = |i: &usize| i / 3 % 6 == second % 6 && (i % 3 != 2 || second < 30);
-        sim.heartbeat_numbered((0..60).filter(heard));
-        let given = sim.scheduler.plan_fleet(sim.now, 0).terminate;
-        if !given.is_empty() {
-            first = second;
+        // Each machine sends a heartbeat every 6 s. From second 30 on, those of zone b do not arrive.
+        let arrives = |i: &usize| i / 3 % 6 == second % 6 && (i % 3 != 2 || second < 30);
+        sim.heartbeat_numbered((0..60).filter(arrives));
+        let terminated = sim.scheduler.plan_fleet(sim.now, 0).terminate;
+        if !terminated.is_empty() {
+            terminated_after = second;
             break;
         }
     }
-    assert!((30 + 36..30 + 45).contains(&first), "after {first} s");
+    assert!(
+        (30 + 36..30 + 45).contains(&terminated_after),
+        "after {terminated_after} s"
+    );
 }
 
-// Guards against a leader that was paused for longer than a lease and still leads, as after an outage: what it did not
-// hear meanwhile is no silence.
+// A leader whose process was paused for longer than a lease may still be the leader, as after an outage. The heartbeats
+// that it could not receive during the pause must not count as missed.
 #[test]
-fn a_process_pause_of_the_leader_is_no_silence_of_its_machines() {
+fn process_pause_of_the_leader_does_not_count_as_missed_heartbeats() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler.config.idle_timeout = Some(Micros::secs(10_000));
     for i in 0..20 {
@@ -471,28 +496,32 @@
     sim.heartbeat_numbered(1..20);
     sim.advance(15);
     sim.heartbeat_numbered(1..20);
-    let given = sim.scheduler.plan_fleet(sim.now, 0).terminate;
-    assert_eq!(given, vec![MachineId("m-0".into())], "silent since");
-    sim.scheduler.on_terminated(&given, sim.now);
-    // One that stops for a second every three still finds the next that dies.
+    let terminated = sim.scheduler.plan_fleet(sim.now, 0).terminate;
+    assert_eq!(
+        terminated,
+        vec![MachineId("m-0".into())],
+        "no heartbeat since the pause"
+    );
+    sim.scheduler.on_terminated(&terminated, sim.now);
+    // A leader that is paused for 1 s every 3 s still detects the next failure.
     for second in 0..40 {
         sim.advance(1);
         if second % 3 == 0 {
             sim.scheduler.on_process_pause(Micros::secs(1), sim.now);
         }
         sim.heartbeat_numbered(2..20);
-        let given = sim.scheduler.plan_fleet(sim.now, 0).terminate;
-        if !given.is_empty() {
-            assert_eq!(given, vec![MachineId("m-1".into())]);
+        let terminated = sim.scheduler.plan_fleet(sim.now, 0).terminate;
+        if !terminated.is_empty() {
+            assert_eq!(terminated, vec![MachineId("m-1".into())]);
             return;
         }
     }
-    panic!("a dead machine was never found");
+    panic!("the failed machine was not detected");
 }
 
-// Guards against a leader that keeps every worker after a filter between controllers.
+// Prevents the leader from keeping every worker after a partition between the controllers.
 #[test]
-fn a_leader_with_too_many_workers_redirects_them_gradually_once_controllers_are_stable() {
+fn leader_with_surplus_workers_redirects_them_gradually_once_controllers_are_stable() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler.config.idle_timeout = Some(Micros::secs(10_000));
     sim.via = "";
@@ -500,41 +529,46 @@
         sim.add_worker(&format!("m-{i:02}"), "a", false);
     }
     let controllers = [controller("n-0", "a", true), controller("n-1", "a", true)];
-    let shed_after = |sim: &mut Simulation, seconds: u64| {
-        let mut shed = 0;
+    let redirects_after = |sim: &mut Simulation, seconds: u64| {
+        let mut redirects = 0;
         for _ in 0..seconds {
             sim.advance(1);
             sim.scheduler.set_controllers(&controllers, sim.now);
             sim.heartbeat_all();
             sim.scheduler.plan_fleet(sim.now, 0);
-            shed = (0..30).filter(|_| sim.scheduler.take_redirect()).count();
+            redirects = (0..30).filter(|_| sim.scheduler.take_redirect()).count();
         }
-        shed
+        redirects
     };
     assert_eq!(
-        shed_after(&mut sim, 10),
+        redirects_after(&mut sim, 10),
         0,
-        "not while it may still be needed"
+        "not before the controllers have been stable for long enough"
     );
     assert_eq!(
-        shed_after(&mut sim, 20),
+        redirects_after(&mut sim, 20),
         1,
-        "ten too many, so one at a time"
+        "ten surplus workers, so one redirect per plan"
     );
     sim.via = "n-1";
-    assert_eq!(shed_after(&mut sim, 2), 0, "and none once others have them");
+    assert_eq!(
+        redirects_after(&mut sim, 2),
+        0,
+        "none once other controllers have the workers"
+    );
 }
 
-// Guards against giving up the workers beyond a cut of two other zones, of which this controller reaches every one.
+// Prevents workers from being terminated because of a partition between two other zones, both of which this controller
+// can reach.
 #[test]
-fn a_partition_that_only_others_see_resets_stability() {
+fn partition_observed_only_by_other_controllers_resets_stability() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler.config.idle_timeout = Some(Micros::secs(10_000));
     for i in 0..20 {
         sim.add_worker(&format!("m-{i:02}"), ["a", "b"][i % 2], false);
     }
     let controllers = [controller("n-0", "c", true), controller("n-1", "a", true)];
-    let mut given = Vec::new();
+    let mut terminated = Vec::new();
     for second in 0..30 {
         sim.advance(1);
         sim.scheduler.set_controllers(&controllers, sim.now);
@@ -544,18 +578,19 @@
         for i in (0..20).filter(|i| i % 7 != 0 || second < 20) {
             sim.heartbeat(&format!("m-{i:02}"));
         }
-        given.extend(sim.scheduler.plan_fleet(sim.now, 0).terminate);
+        terminated.extend(sim.scheduler.plan_fleet(sim.now, 0).terminate);
     }
     assert_eq!(
-        given,
+        terminated,
         vec![],
-        "they find another controller within ten seconds"
+        "the workers reconnect to another controller within 10 s"
     );
 }
 
-// Guards against live machines given up by a new leader, which does not know yet that their controller is cut off.
+// Prevents a new leader from terminating live machines because it does not know yet that their controller is
+// partitioned.
 #[test]
-fn a_new_leader_waits_for_machines_that_an_unreachable_controller_may_hear() {
+fn new_leader_waits_for_machines_that_may_be_in_contact_with_an_unreachable_controller() {
     let mut sim = Simulation::new(0.0);
     for i in 0..10 {
         sim.add_worker(&format!("m-{i}"), "a", false);
@@ -565,18 +600,21 @@
     sim.heartbeat_all();
     sim.change_leader(token_after(TOKEN, 1));
     let controllers = [controller("n-0", "a", false), controller("n-1", "a", true)];
-    let mut given_up = None;
+    let mut terminated_after = None;
     for second in 1..60 {
         sim.advance(1);
         sim.scheduler.set_controllers(&controllers, sim.now);
-        // Two of them hear only the silent controller.
+        // Two of them are in contact with the unreachable controller only.
         if second % 3 == 0 {
             sim.heartbeat_numbered(2..10);
         }
         if !sim.scheduler.plan_fleet(sim.now, 0).terminate.is_empty() {
-            given_up.get_or_insert(second);
+            terminated_after.get_or_insert(second);
         }
     }
     let lease = config().agent_lease.0 / 1_000_000;
-    assert!(given_up.is_some_and(|s| s > lease), "{given_up:?}");
+    assert!(
+        terminated_after.is_some_and(|s| s > lease),
+        "{terminated_after:?}"
+    );
 }
--- a/src/scheduler/scenarios/faults.rs
+++ b/src/scheduler/scenarios/faults.rs
@@ -1,10 +1,10 @@
-//! Faulty machines and broken jobs.
+//! Faulty machines and faulty jobs.
 
 use super::{Simulation, spec};
 use crate::scheduler::{ExitCause, JobId, JobSpec, MachineId, MachineState, Shape, TaskState};
 
 #[test]
-fn a_machine_failing_everything_is_quarantined_and_terminated() {
+fn machine_that_fails_tasks_of_two_jobs_is_quarantined_and_terminated() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     sim.add_worker("m-2", "a", false);
@@ -21,7 +21,7 @@
     }
     sim.heartbeat_all();
     assert_eq!(sim.workers["m-1"].running(), 0);
-    assert_eq!(sim.running(), 2, "both run elsewhere");
+    assert_eq!(sim.running(), 2, "both tasks run elsewhere");
     assert!(
         sim.scheduler
             .plan_fleet(sim.now, 0)
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_crash_looping_job_backs_off_and_no_machine_is_quarantined() {
+fn crash_looping_job_backs_off_and_no_machine_is_quarantined() {
     let mut sim = Simulation::new(0.0);
     for i in 1..=4 {
         sim.add_worker(&format!("m-{i}"), "a", false);
@@ -40,15 +40,15 @@
     for _ in 0..3 {
         sim.run_cycle_and_commit();
         sim.heartbeat_all();
-        for w in sim.workers.values_mut() {
-            w.exit_all(ExitCause::Error);
+        for worker in sim.workers.values_mut() {
+            worker.exit_all(ExitCause::Error);
         }
         sim.heartbeat_all();
         sim.advance(1);
     }
     sim.run_cycle_and_commit();
     sim.heartbeat_all();
-    assert_eq!(sim.running(), 0, "it waits");
+    assert_eq!(sim.running(), 0, "the job backs off");
     assert!(
         sim.scheduler
             .machines
@@ -61,21 +61,27 @@
     assert_eq!(
         sim.running(),
         1,
-        "and is tried again, as a mistake may be on the machines' side after all"
+        "the job is retried, as the machines may be faulty rather than the job"
     );
 }
 
-/// Plays a while in which the tasks of broken jobs fail, and all that run on these machines; the others complete.
-fn play_failing(sim: &mut Simulation, broken: &[&str], sick: &[&str], seconds: u64) -> usize {
+/// Simulates `seconds` seconds in which tasks fail if they belong to `faulty_jobs` or run on `faulty_machines`, and all
+/// others complete. Returns the number of failures.
+fn run_with_failures(
+    sim: &mut Simulation,
+    faulty_jobs: &[&str],
+    faulty_machines: &[&str],
+    seconds: u64,
+) -> usize {
     let mut failed = 0;
     for _ in 0..seconds {
         sim.run_cycle_and_commit();
         sim.heartbeat_all();
-        for (name, w) in &mut sim.workers {
-            let up = w.tasks.iter_mut();
-            for ((task, _), state) in up.filter(|(_, s)| s.0 != TaskState::Exited) {
+        for (name, worker) in &mut sim.workers {
+            let tasks = worker.tasks.iter_mut();
+            for ((task, _), state) in tasks.filter(|(_, s)| s.0 != TaskState::Exited) {
                 let job = task.split('/').next().unwrap_or_default();
-                let fails = broken.contains(&job) || sick.contains(&name.as_str());
+                let fails = faulty_jobs.contains(&job) || faulty_machines.contains(&name.as_str());
                 failed += usize::from(fails);
                 let cause = if fails {
                     ExitCause::Error
@@ -91,10 +97,10 @@
     failed
 }
 
-// Guards against good machines terminated because two broken jobs met on them, against every task of a large broken job
-// being started, and provisioned for, again and again, and against a broken job that hides a faulty machine.
+// Prevents healthy machines from being terminated because two faulty jobs ran on them, machines from being provisioned
+// for tasks of a large faulty job that are all started again and again, and a faulty job from hiding a faulty machine.
 #[test]
-fn broken_jobs_and_a_faulty_machine_are_told_apart() {
+fn failures_are_attributed_to_faulty_jobs_or_to_a_faulty_machine() {
     let mut sim = Simulation::new(0.0);
     for i in 1..=12 {
         sim.add_worker(&format!("m-{i:02}"), "a", false);
@@ -102,7 +108,7 @@
     for id in ["j-1", "j-2"] {
         sim.submit(spec(id, 40));
     }
-    let failed = play_failing(&mut sim, &["j-1", "j-2"], &[], 60);
+    let failed = run_with_failures(&mut sim, &["j-1", "j-2"], &[], 60);
     assert!(
         sim.scheduler
             .machines
@@ -111,30 +117,34 @@
     );
     assert!(
         failed < 2 * (24 + 10),
-        "all places once, then one by one: {failed}"
+        "one failure per place, then one task at a time: {failed}"
     );
-    // Good jobs go on beside them, and what fails on one machine only is that machine's fault.
+    // Other jobs still complete, and failures on a single machine are attributed to that machine.
     for i in 3..=8 {
         sim.submit(spec(&format!("j-{i}"), 30));
     }
-    play_failing(&mut sim, &["j-1", "j-2"], &["m-01"], 40);
-    let sick: Vec<&MachineId> = sim
+    run_with_failures(&mut sim, &["j-1", "j-2"], &["m-01"], 40);
+    let quarantined: Vec<&MachineId> = sim
         .scheduler
         .machines
         .iter()
         .filter(|(_, m)| m.state != MachineState::Ready)
         .map(|(id, _)| id)
         .collect();
-    assert_eq!(sick, vec![&MachineId("m-01".into())]);
+    assert_eq!(quarantined, vec![&MachineId("m-01".into())]);
     assert!((3..=8).all(|i| sim.done.contains(&JobId(format!("j-{i}")))));
     assert!(!sim.done.contains(&JobId("j-1".into())));
-    let rent = sim.scheduler.plan_fleet(sim.now, 100_000_000).provision;
-    assert!(rent.iter().map(|w| w.count).sum::<usize>() <= 1, "{rent:?}");
+    let requests = sim.scheduler.plan_fleet(sim.now, 100_000_000).provision;
+    assert!(
+        requests.iter().map(|request| request.count).sum::<usize>() <= 1,
+        "{requests:?}"
+    );
 }
 
-// Guards against a good job whose tasks wait for all the others to end, because some met faulty machines.
+// Prevents failed tasks of a healthy job, some of which ran on faulty machines, from waiting until all its other tasks
+// have ended.
 #[test]
-fn what_failed_on_faulty_machines_is_tried_again_while_the_others_run() {
+fn tasks_that_failed_on_faulty_machines_are_retried_while_the_others_run() {
     let mut sim = Simulation::new(0.0);
     for i in 1..=10 {
         sim.add_worker(&format!("m-{i}"), "a", false);
@@ -143,47 +153,51 @@
     sim.run_cycle_and_commit();
     sim.heartbeat_all();
     for name in ["m-1", "m-2", "m-3"] {
-        let w = sim.workers.get_mut(name).expect("a worker");
-        w.exit_all(ExitCause::Error);
+        let worker = sim.workers.get_mut(name).expect("a worker");
+        worker.exit_all(ExitCause::Error);
     }
     sim.heartbeat_all();
-    let before = sim.running();
-    assert!(before < 14);
+    let running_before = sim.running();
+    assert!(running_before < 14);
     for _ in 0..35 {
         sim.advance(1);
         sim.heartbeat_all();
     }
     assert!(
-        (before + 1..=before + 3).contains(&sim.running()),
-        "one, and another after a while"
+        (running_before + 1..=running_before + 3).contains(&sim.running()),
+        "one task is retried, then another after a pause"
     );
 }
 
-// Guards against a good job that met only faulty machines first being taken for broken for good, and them for good.
+// Prevents a healthy job that first ran only on faulty machines from counting as crash-looping permanently, and these
+// machines from counting as healthy.
 #[test]
-fn a_job_that_succeeds_elsewhere_attributes_its_failures_to_the_machines() {
+fn failures_of_a_job_that_succeeds_elsewhere_are_attributed_to_the_machines() {
     let mut sim = Simulation::new(0.0);
     for i in 1..=8 {
         sim.add_worker(&format!("m-{i}"), "a", false);
     }
-    let sick = ["m-1", "m-2", "m-3"];
+    let faulty_machines = ["m-1", "m-2", "m-3"];
     let first = sim.submit(spec("j-1", 6));
-    play_failing(&mut sim, &[], &sick, 40);
-    assert!(sim.done.contains(&first), "the other machines complete it");
+    run_with_failures(&mut sim, &[], &faulty_machines, 40);
+    assert!(
+        sim.done.contains(&first),
+        "the other machines complete the job"
+    );
     sim.submit(spec("j-2", 6));
-    play_failing(&mut sim, &[], &sick, 40);
+    run_with_failures(&mut sim, &[], &faulty_machines, 40);
     for (id, m) in &sim.scheduler.machines {
         assert_eq!(
             m.state == MachineState::Ready,
-            !sick.contains(&id.0.as_str()),
+            !faulty_machines.contains(&id.0.as_str()),
             "{id}"
         );
     }
 }
 
-// Guards against a gang that is taken to be crash-looping and offered one task at a time, so that it never starts again.
+// Prevents a gang from counting as crash-looping: it would be offered one task at a time and never start again.
 #[test]
-fn a_gang_that_failed_everywhere_starts_whole_again_after_its_pause() {
+fn gang_that_failed_on_all_its_machines_restarts_whole_after_its_backoff() {
     let mut sim = Simulation::new(0.0);
     for i in 1..=8 {
         sim.add_worker(&format!("m-{i}"), "a", false);
@@ -197,8 +211,8 @@
         sim.run_cycle_and_commit();
         sim.heartbeat_all();
         assert_eq!(sim.running(), 4);
-        for w in sim.workers.values_mut() {
-            w.exit_all(ExitCause::Error);
+        for worker in sim.workers.values_mut() {
+            worker.exit_all(ExitCause::Error);
         }
         sim.heartbeat_all();
         sim.advance(60);
--- a/src/scheduler/scenarios/fleet.rs
+++ b/src/scheduler/scenarios/fleet.rs
@@ -1,4 +1,4 @@
-//! Renting, booting, consolidation and giving back.
+//! Scale-out, provisioning, consolidation and scale-in.
 
 use super::{Simulation, aborted, critical_service, spec};
 use crate::scheduler::{JobId, JobSpec, MachineId, Pool, ScaleOutRequest, TaskState};
@@ -6,32 +6,35 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn unplaced_tasks_provision_cheap_machines_once_and_another_zone_without_capacity() {
+fn cheap_machines_are_provisioned_once_and_in_another_zone_if_there_is_no_capacity() {
     let mut sim = Simulation::new(0.0);
     sim.submit(spec("j-1", 4));
     sim.run_cycle_and_commit();
-    let rent = sim.scheduler.plan_fleet(sim.now, 0).provision;
-    let count: usize = rent.iter().map(|w| w.count).sum();
+    let requests = sim.scheduler.plan_fleet(sim.now, 0).provision;
+    let count: usize = requests.iter().map(|request| request.count).sum();
     assert_eq!(count, 2);
-    assert!(rent.iter().all(|w| w.pool.spot));
-    for request in &rent {
+    assert!(requests.iter().all(|request| request.pool.spot));
+    for request in &requests {
         sim.scheduler.on_scale_out_started(request);
     }
     assert_eq!(
         sim.scheduler.plan_fleet(sim.now, 0).provision,
         vec![],
-        "what is on its way counts"
+        "machines being provisioned count"
     );
-    for request in &rent {
+    for request in &requests {
         sim.scheduler.on_scale_out_completed(request, &[], sim.now);
     }
     for request in sim.scheduler.plan_fleet(sim.now, 0).provision {
-        assert!(rent.iter().all(|w| w.pool != request.pool), "{request:?}");
+        assert!(
+            requests.iter().all(|other| other.pool != request.pool),
+            "{request:?}"
+        );
     }
 }
 
 #[test]
-fn machines_that_never_boot_are_terminated_and_an_unexpected_one_is_used() {
+fn machines_that_never_become_ready_are_terminated_and_an_unexpected_machine_is_used() {
     let mut sim = Simulation::new(0.0);
     let pool = Pool {
         machine_type: "rig".into(),
@@ -54,10 +57,15 @@
     assert_eq!(sim.running(), 1);
 }
 
-// Guards against counting the moving task against its own zone, by which only moves to other zones were ever made.
-/// Provisions twenty machines, and plays how they come up: each after so many seconds, if at all. Gives what is terminated by
-/// then, and how many more were provisioned, all as wanted for twenty tasks of two a machine.
-fn boots(sim: &mut Simulation, zone: &str, after: &[Option<u64>], until: u64) -> (usize, usize) {
+/// Provisions a machine for each entry of `ready_after`, and a job of two tasks per machine. Each machine becomes ready
+/// after its entry in seconds; `None` means never. Returns how many of them are terminated within `until` seconds, and
+/// the highest number of further machines that a plan requests in that time.
+fn simulate_provisioning(
+    sim: &mut Simulation,
+    zone: &str,
+    ready_after: &[Option<u64>],
+    until: u64,
+) -> (usize, usize) {
     let pool = Pool {
         machine_type: "rig".into(),
         zone: zone.into(),
@@ -65,59 +73,63 @@
     };
     let request = ScaleOutRequest {
         pool,
-        count: after.len(),
+        count: ready_after.len(),
     };
     let name = |i: usize| format!("m-{zone}{i:02}");
-    let rented: Vec<MachineId> = (0..after.len()).map(|i| MachineId(name(i))).collect();
+    let provisioned: Vec<MachineId> = (0..ready_after.len()).map(|i| MachineId(name(i))).collect();
     sim.scheduler.on_scale_out_started(&request);
     sim.scheduler
-        .on_scale_out_completed(&request, &rented, sim.now);
-    sim.submit(spec(&format!("j-{zone}"), 2 * after.len() as u32));
-    let (mut given_back, mut more) = (BTreeSet::new(), 0);
+        .on_scale_out_completed(&request, &provisioned, sim.now);
+    sim.submit(spec(&format!("j-{zone}"), 2 * ready_after.len() as u32));
+    let (mut terminated, mut max_requested) = (BTreeSet::new(), 0);
     for second in 1..=until {
         sim.advance(1);
-        for (i, up) in after.iter().enumerate() {
-            if *up == Some(second) && !given_back.contains(&rented[i]) {
+        for (i, ready_second) in ready_after.iter().enumerate() {
+            if *ready_second == Some(second) && !terminated.contains(&provisioned[i]) {
                 sim.add_worker(&name(i), zone, true);
             }
         }
         sim.heartbeat_all();
         let plan = sim.scheduler.plan_fleet(sim.now, second * 1_000_000);
-        given_back.extend(plan.terminate);
-        more = more.max(plan.provision.iter().map(|w| w.count).sum());
+        terminated.extend(plan.terminate);
+        max_requested = max_requested.max(plan.provision.iter().map(|request| request.count).sum());
     }
-    (given_back.len(), more)
+    (terminated.len(), max_requested)
 }
 
-// Guards against giving up every new machine of a time in which all come up late, and renting them again for ever; and
-// against waiting as long for a few that never come up.
+// Prevents two faults: new machines are terminated and provisioned again forever when all of them become ready late, or
+// a few machines that never become ready are waited for as long.
 #[test]
-fn the_provisioning_timeout_grows_where_all_machines_are_late_and_not_for_a_few() {
-    // The usual time is 40 s. Of twenty machines two never come up.
-    let mut few = vec![Some(38); 18];
-    few.extend([None, None]);
-    let (given_back, more) = boots(&mut Simulation::new(0.0), "a", &few, 75);
-    assert_eq!((given_back, more), (2, 2));
-    // All take three and a half times as long.
+fn provisioning_timeout_is_longer_if_all_machines_are_late_but_not_if_a_few_are() {
+    // The usual provisioning time is 40 s. Two of twenty machines never become ready.
+    let mut two_never_ready = vec![Some(38); 18];
+    two_never_ready.extend([None, None]);
+    let (terminated, requested) =
+        simulate_provisioning(&mut Simulation::new(0.0), "a", &two_never_ready, 75);
+    assert_eq!((terminated, requested), (2, 2));
+    // All machines are late: they take 115 s, and the next ones 140 s, three and a half times as long as usual.
     let mut sim = Simulation::new(0.0);
-    let (given_back, _) = boots(&mut sim, "a", &[Some(115); 20], 118);
-    assert_eq!(given_back, 0, "all may yet come");
+    let (terminated, _) = simulate_provisioning(&mut sim, "a", &[Some(115); 20], 118);
+    assert_eq!(terminated, 0, "all may still become ready");
     assert_eq!(sim.running(), 40);
-    // What is known of the zone by now holds for the next machines there, and others are provisioned elsewhere.
-    let (given_back, more) = boots(&mut sim, "a", &[Some(140); 10], 135);
-    assert_eq!((given_back, more), (0, 0));
-    // None comes up: they are replaced, and go back, after a longer while.
-    let (given_back, more) = boots(&mut Simulation::new(0.0), "a", &[None; 20], 125);
-    assert_eq!((given_back, more), (20, 20));
+    // The longer timeout of the zone also applies to the next machines there. Further machines would be
+    // provisioned in another zone.
+    let (terminated, requested) = simulate_provisioning(&mut sim, "a", &[Some(140); 10], 135);
+    assert_eq!((terminated, requested), (0, 0));
+    // No machine becomes ready: all are replaced, and terminated after the longer timeout.
+    let (terminated, requested) =
+        simulate_provisioning(&mut Simulation::new(0.0), "a", &[None; 20], 125);
+    assert_eq!((terminated, requested), (20, 20));
 }
 
+// Prevents a task that is being moved from counting against its own zone: it could then be moved to other zones only.
 #[test]
-fn a_scattered_service_is_consolidated_and_its_machine_terminated() {
+fn scattered_service_is_consolidated_and_its_machine_terminated() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler.config.reserved_places = Some(0);
     sim.scheduler.set_controllers(&[], sim.now);
     sim.add_worker("m-1", "a", false);
-    let filler = sim.submit(critical_service("j-0"));
+    let ended_job = sim.submit(critical_service("j-0"));
     sim.submit(critical_service("j-1"));
     sim.run_cycle_and_commit();
     sim.heartbeat("m-1");
@@ -126,26 +138,26 @@
     sim.run_cycle_and_commit();
     sim.heartbeat("m-2");
     let end = aborted(u64::MAX);
-    sim.scheduler.end_job(&filler, end);
+    sim.scheduler.end_job(&ended_job, end);
     sim.heartbeat("m-1");
     sim.heartbeat("m-1");
     assert_eq!(sim.workers["m-1"].running(), 1);
     assert_eq!(sim.workers["m-2"].running(), 1);
-    let mut given = Vec::new();
+    let mut terminated = Vec::new();
     for _ in 0..60 {
         sim.advance(1);
-        given.extend(sim.scheduler.plan_fleet(sim.now, u64::MAX).terminate);
+        terminated.extend(sim.scheduler.plan_fleet(sim.now, u64::MAX).terminate);
         sim.heartbeat("m-1");
         sim.advance(1);
         sim.heartbeat("m-2");
     }
     assert_eq!(sim.workers["m-1"].running(), 2);
-    assert!(given.contains(&MachineId("m-2".into())));
+    assert!(terminated.contains(&MachineId("m-2".into())));
 }
 
-// Guards against work without checkpoints being lost on spot machines over and over.
+// Prevents work without checkpoints from being lost on spot machines again and again.
 #[test]
-fn work_lost_with_a_spot_machine_goes_to_an_ordinary_one() {
+fn task_that_lost_work_on_a_spot_machine_is_placed_on_an_on_demand_machine() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", true);
     sim.submit(JobSpec {
@@ -167,9 +179,9 @@
     assert_eq!(sim.workers["m-3"].running(), 1);
 }
 
-// Guards against renting for a wait that a machine's boot would only make longer.
+// Prevents machines from being provisioned for tasks that can start on existing machines before new ones are ready.
 #[test]
-fn nothing_is_provisioned_for_tasks_that_soon_fit_unless_there_is_a_deadline() {
+fn nothing_is_provisioned_for_tasks_that_soon_fit_unless_they_have_a_deadline() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     sim.submit(JobSpec {
@@ -184,18 +196,18 @@
     sim.submit(spec("j-2", 2));
     sim.run_cycle_and_commit();
     assert_eq!(sim.scheduler.plan_fleet(sim.now, 0).provision, vec![]);
-    // An aim that leaves time for boots does not make it hurry.
-    let aim = |sim: &mut Simulation, s: u64| {
+    // A start objective that leaves time for provisioning does not cause machines to be provisioned earlier.
+    let set_start_objective = |sim: &mut Simulation, s: u64| {
         sim.scheduler
             .config
             .max_start_delay
             .insert("batch".into(), Micros::secs(s))
     };
-    aim(&mut sim, 150);
+    set_start_objective(&mut sim, 150);
     assert_eq!(sim.scheduler.plan_fleet(sim.now, 0).provision, vec![]);
-    aim(&mut sim, 60);
+    set_start_objective(&mut sim, 60);
     assert_eq!(sim.scheduler.plan_fleet(sim.now, 0).provision.len(), 1);
-    aim(&mut sim, 150);
+    set_start_objective(&mut sim, 150);
     sim.submit(JobSpec {
         due_s: Some(90.0),
         ..spec("j-3", 1)
@@ -204,14 +216,13 @@
     assert_eq!(sim.scheduler.plan_fleet(sim.now, 0).provision.len(), 1);
 }
 
-// Guards against consolidation that does not keep pace with a large fleet, and against one that takes many replicas down at
-// once.
+// Consolidation must keep pace with a large fleet without taking many replicas down at once.
 #[test]
-fn a_large_scattered_service_is_consolidated_faster_but_never_much_of_it_at_once() {
+fn large_scattered_service_is_consolidated_faster_but_with_few_replicas_down_at_once() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler.config.reserved_places = Some(0);
     sim.scheduler.set_controllers(&[], sim.now);
-    let fillers: Vec<JobId> = (0..400)
+    let ended_jobs: Vec<JobId> = (0..400)
         .map(|i| sim.submit(critical_service(&format!("j-{i:04}"))))
         .collect();
     for i in 0..200 {
@@ -225,17 +236,17 @@
     sim.heartbeat_all();
     assert_eq!(sim.running(), 400);
     let end = aborted(u64::MAX);
-    fillers
+    ended_jobs
         .iter()
         .step_by(2)
         .for_each(|id| sim.scheduler.end_job(id, end));
     sim.heartbeat_all();
     sim.heartbeat_all();
-    let mut returned = 0;
+    let mut terminated = 0;
     for second in 0..90 {
         sim.advance(1);
         let plan = sim.scheduler.plan_fleet(sim.now, u64::MAX);
-        returned += plan.terminate.len();
+        terminated += plan.terminate.len();
         sim.scheduler.on_terminated(&plan.terminate, sim.now);
         plan.terminate.iter().for_each(|m| {
             sim.workers.remove(&m.0);
@@ -255,42 +266,45 @@
         assert!(down <= 2, "{down} of 200 replicas down at once");
     }
     assert!(
-        (5..50).contains(&returned),
-        "{returned} machines returned in 90 s"
+        (5..50).contains(&terminated),
+        "{terminated} machines terminated in 90 s"
     );
 }
 
-// Guards against a large start that waits for the slowest of just as many boots as it needs.
+// Prevents the start of a large job from waiting for the slowest of exactly as many machines as it needs.
 #[test]
-fn a_ramp_provisions_more_machines_than_wait_and_a_small_job_does_not() {
-    let rented = |tasks: u32| {
+fn large_job_provisions_more_machines_than_it_needs_and_a_small_job_does_not() {
+    let provisioned_for = |tasks: u32| {
         let mut sim = Simulation::new(0.0);
         sim.scheduler.config.reserved_places = Some(0);
         sim.scheduler.config.max_scale_out_per_cycle = 1_000;
-        let big = JobSpec {
+        let service = JobSpec {
             tasks,
             ..critical_service("j-1")
         };
-        sim.submit(big);
-        let rent = sim.scheduler.plan_fleet(sim.now, 0).provision;
-        rent.iter().map(|w| w.count).sum::<usize>()
+        sim.submit(service);
+        let requests = sim.scheduler.plan_fleet(sim.now, 0).provision;
+        requests.iter().map(|request| request.count).sum::<usize>()
     };
-    assert_eq!(rented(8), 4);
-    assert_eq!(rented(100), 75);
+    assert_eq!(provisioned_for(8), 4);
+    assert_eq!(provisioned_for(100), 75);
 }
 
-// Guards against what provisioned 255 machines in a zone that was cut off: all there had been given up, so that it had the
+// Once, 255 machines were provisioned in a partitioned zone: all machines there had been terminated, so that it had the
 // fewest of all zones.
 #[test]
-fn an_unreachable_zone_is_provisioned_last() {
+fn unreachable_zone_is_provisioned_last() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler.config.idle_timeout = Some(Micros::secs(10_000));
     for i in 0..8 {
         sim.add_worker(&format!("m-{i}"), ["a", "b", "b", "b"][i % 4], false);
     }
-    let zones_rented = |sim: &mut Simulation| {
-        let rent = sim.scheduler.plan_fleet(sim.now, 0).provision;
-        let zones: BTreeSet<String> = rent.into_iter().map(|w| w.pool.zone).collect();
+    let requested_zones = |sim: &mut Simulation| {
+        let requests = sim.scheduler.plan_fleet(sim.now, 0).provision;
+        let zones: BTreeSet<String> = requests
+            .into_iter()
+            .map(|request| request.pool.zone)
+            .collect();
         zones.into_iter().collect::<Vec<_>>()
     };
     sim.advance(8);
@@ -298,11 +312,11 @@
     sim.submit(spec("j-1", 40));
     sim.run_cycle_and_commit();
     assert_eq!(
-        zones_rented(&mut sim),
+        requested_zones(&mut sim),
         ["b"],
-        "nothing is heard of the other"
+        "no heartbeats arrive from zone a"
     );
     sim.advance(2);
     sim.heartbeat_numbered([0]);
-    assert!(zones_rented(&mut sim).contains(&"a".to_owned()));
+    assert!(requested_zones(&mut sim).contains(&"a".to_owned()));
 }
--- a/src/scheduler/scenarios/mod.rs
+++ b/src/scheduler/scenarios/mod.rs
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Replaces the leader by a new one, which starts from the stored state. Also simulates a restart of all controllers.
+    /// Replaces the leader by a new one that starts from the stored state, as after a restart of all controllers.
     fn change_leader(&mut self, token: FencingToken) {
         let teams = self.scheduler.teams.clone();
         self.scheduler = Scheduler::new(config(), teams, token, 1, self.now);
