--- a/src/scheduler/scenarios/latency_sensitive.rs
+++ b/src/scheduler/scenarios/latency_sensitive.rs
@@ -1,4 +1,4 @@
-//! Many short tasks of several teams, and few writes.
+//! Latency-sensitive work: many short tasks of several teams, with a limited write rate.
 
 use super::{Simulation, TOKEN, count_starts, spec};
 use crate::scheduler::{
@@ -6,7 +6,7 @@
 };
 use crate::units::Micros;
 
-/// A job whose aims leave no time for a boot.
+/// Returns the spec of an urgent array whose deadline leaves no time to provision a machine.
 fn latency_sensitive(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         priority: Priority::Urgent,
@@ -17,17 +17,17 @@
     }
 }
 
-// Guards against two jobs that stop each other's tasks for ever, one by its rank and one by its team's guarantee, and
-// against small tasks that take, bit by bit, the room that is being made for a large one.
+// Prevents two jobs from preempting each other's tasks forever, one by its priority and one by its team's guarantee.
+// Also prevents small tasks from taking, bit by bit, the resources that are being freed for a large one.
 #[test]
-fn what_a_team_is_guaranteed_takes_the_room_made_for_it_and_keeps_it() {
+fn guaranteed_job_gets_and_keeps_the_resources_freed_for_it() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler.config.guarantee_start_delay = Some(Micros::secs(15));
-    for (name, cards) in [("owed", 2.0), ("borrows", 1.0)] {
-        let share = TeamQuota::new(0.0, 0.0, cards, 0.0);
-        sim.scheduler.teams.insert(name.into(), share);
+    for (name, accelerators) in [("owed", 2.0), ("borrows", 1.0)] {
+        let quota = TeamQuota::new(0.0, 0.0, accelerators, 0.0);
+        sim.scheduler.teams.insert(name.into(), quota);
     }
-    let of = |team: &str, spec: JobSpec| JobSpec {
+    let of_team = |team: &str, spec: JobSpec| JobSpec {
         team: team.into(),
         ..spec
     };
@@ -37,12 +37,12 @@
         due_s: Some(200.0),
         ..latency_sensitive(id, tasks)
     };
-    sim.submit(of("borrows", long("j-1", 2)));
+    sim.submit(of_team("borrows", long("j-1", 2)));
     sim.run_cycle_and_commit();
     sim.heartbeat("m-1");
     sim.heartbeat("m-1");
     assert_eq!(sim.running(), 2);
-    sim.submit(of("borrows", latency_sensitive("j-2", 3)));
+    sim.submit(of_team("borrows", latency_sensitive("j-2", 3)));
     let large = JobSpec {
         priority: Priority::Normal,
         cores: 12.0,
@@ -50,33 +50,41 @@
         ram_gb: 96.0,
         ..spec("j-3", 1)
     };
-    sim.submit(of("owed", large));
-    let stops = sim.send_heartbeat("m-1");
-    assert_eq!(stops.len(), 2, "{stops:?}");
-    assert!(stops.iter().all(|o| matches!(o, AgentCommand::Stop { .. })));
-    // One of the two exits first.
+    sim.submit(of_team("owed", large));
+    let stop_commands = sim.send_heartbeat("m-1");
+    assert_eq!(stop_commands.len(), 2, "{stop_commands:?}");
+    assert!(
+        stop_commands
+            .iter()
+            .all(|c| matches!(c, AgentCommand::Stop { .. }))
+    );
+    // Only one of the two stopped tasks has exited.
     let worker = sim.workers.get_mut("m-1").expect("a worker");
-    worker.execute(&stops[..1], TOKEN);
+    worker.execute(&stop_commands[..1], TOKEN);
     let commands = sim.send_heartbeat("m-1");
-    assert_eq!(count_starts(&commands), 0, "its room is kept: {commands:?}");
+    assert_eq!(
+        count_starts(&commands),
+        0,
+        "the freed resources stay reserved: {commands:?}"
+    );
     let worker = sim.workers.get_mut("m-1").expect("a worker");
-    worker.execute(&stops[1..], TOKEN);
+    worker.execute(&stop_commands[1..], TOKEN);
     for _ in 0..6 {
         sim.heartbeat("m-1");
         sim.advance(1);
     }
     let tasks = &sim.workers["m-1"].tasks;
-    let live = tasks
+    let live_tasks = tasks
         .iter()
         .filter(|(_, (state, _))| *state != TaskState::Exited);
-    let names: Vec<&str> = live.map(|((task, _), _)| task.as_str()).collect();
+    let names: Vec<&str> = live_tasks.map(|((task, _), _)| task.as_str()).collect();
     assert_eq!(names, ["j-3/0"]);
 }
 
-// Guards against a task of normal priority that urgent arrays stop every time it has just begun: it loses least, and so it
-// would be stopped for each of them and never end.
+// A task that has just started loses the least work. Without a minimum run time, a steady stream of urgent arrays would
+// stop the same task of normal priority again and again, and it would never finish.
 #[test]
-fn an_array_is_not_stopped_for_a_higher_one_before_it_ran_for_a_while() {
+fn array_task_is_not_preempted_for_a_higher_priority_array_before_a_minimum_run_time() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler
         .config
@@ -98,33 +106,33 @@
         accelerators: 0.0,
         ..latency_sensitive("j-2", 1)
     });
-    let mut ran = 0;
-    let stops = loop {
+    let mut run_time_s = 0;
+    let stop_commands = loop {
         sim.run_cycle_and_commit();
-        let stops = sim.send_heartbeat("m-1");
-        if !stops.is_empty() || ran > 60 {
-            break stops;
+        let stop_commands = sim.send_heartbeat("m-1");
+        if !stop_commands.is_empty() || run_time_s > 60 {
+            break stop_commands;
         }
         sim.advance(1);
-        ran += 1;
+        run_time_s += 1;
     };
     assert!(
-        matches!(&stops[..], [AgentCommand::Stop { task, .. }] if task == "j-1/0"),
-        "{stops:?}"
+        matches!(&stop_commands[..], [AgentCommand::Stop { task, .. }] if task == "j-1/0"),
+        "{stop_commands:?}"
     );
-    assert_eq!(ran, 45);
+    assert_eq!(run_time_s, 45);
 }
 
-// Guards against borrowed room that is taken back by stops where it is free again in less time than the stopped tasks need to
-// run once more.
+// Prevents borrowed resources from being reclaimed by preemption if they are free again in less time than the stopped
+// tasks need to run again.
 #[test]
-fn a_guarantee_waits_for_short_borrowed_tasks_but_not_for_long_ones() {
-    let stops = |expected_run_s: f64| {
+fn guarantee_waits_for_short_borrowing_tasks_but_preempts_long_ones() {
+    let stop_count = |expected_run_s: f64| {
         let mut sim = Simulation::new(0.0);
         sim.scheduler.config.guarantee_start_delay = Some(Micros::secs(10));
         for team in ["owed", "borrows"] {
-            let share = TeamQuota::new(0.0, 0.0, 1.0, 0.0);
-            sim.scheduler.teams.insert(team.into(), share);
+            let quota = TeamQuota::new(0.0, 0.0, 1.0, 0.0);
+            sim.scheduler.teams.insert(team.into(), quota);
         }
         sim.add_worker("m-1", "a", false);
         sim.submit(JobSpec {
@@ -142,11 +150,11 @@
         sim.run_cycle_and_commit();
         sim.send_heartbeat("m-1").len()
     };
-    assert_eq!(stops(20.0), 0);
-    assert_eq!(stops(100.0), 1);
+    assert_eq!(stop_count(20.0), 0);
+    assert_eq!(stop_count(100.0), 1);
 }
 
-/// Seconds for which an empty machine is kept after such a job.
+/// Returns for how many seconds an empty machine is kept after this job has run on it.
 fn kept_after(job: JobSpec, on_spot: bool) -> u64 {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", on_spot);
@@ -174,10 +182,10 @@
     100
 }
 
-// Guards against machines that are terminated and provisioned again all the time where work comes and goes faster than
-// machines boot: each boot is paid for, and comes too late.
+// If work arrives and ends faster than machines are provisioned, machines would be terminated and provisioned again all
+// the time: each provisioning is paid for and ends too late.
 #[test]
-fn machines_are_kept_as_long_as_a_boot_takes_for_work_that_cannot_wait_for_one() {
+fn machines_are_kept_for_one_provisioning_time_after_latency_sensitive_work() {
     assert_eq!(kept_after(spec("j-1", 1), false), 5);
     assert_eq!(kept_after(spec("j-1", 1), true), 5);
     for spot in [true, false] {
@@ -189,9 +197,9 @@
     }
 }
 
-// Guards against machines at three times the price that wait for work which cheaper ones may serve.
+// Prevents on-demand machines from being kept, at three times the price, for work that may use spot machines.
 #[test]
-fn ordinary_machines_are_not_kept_for_work_that_may_use_spot_machines() {
+fn on_demand_machines_are_not_kept_for_work_that_may_use_spot_machines() {
     let job = JobSpec {
         spot: true,
         ..latency_sensitive("j-1", 1)
@@ -199,9 +207,10 @@
     assert_eq!(kept_after(job, false), 5);
 }
 
-// Guards against the finishes of many short tasks using up the writes for which starts wait.
+// Prevents the completions of many short tasks from using up the write rate that starts wait for.
 #[test]
-fn where_writes_are_short_finishes_wait_for_their_jobs_next_placement_or_end_or_some_seconds() {
+fn completions_are_deferred_until_the_next_write_of_their_job_or_a_timeout_while_writes_are_limited()
+ {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     sim.submit(JobSpec {
@@ -212,7 +221,7 @@
     });
     sim.run_cycle_and_commit();
     sim.heartbeat("m-1");
-    let finish = |sim: &mut Simulation, index: u32| {
+    let report_completion = |sim: &mut Simulation, index: u32| {
         let worker = sim.workers.get_mut("m-1").expect("a worker");
         let task = format!("j-1/{index}");
         for ((name, _), state) in worker.tasks.iter_mut() {
@@ -223,10 +232,10 @@
         let heartbeat = worker.next_heartbeat("m-1");
         sim.scheduler.on_heartbeat(&heartbeat, sim.via, sim.now);
     };
-    finish(&mut sim, 0);
+    report_completion(&mut sim, 0);
     assert_eq!(sim.scheduler.next_batch(20, 36_000, true), vec![]);
     sim.advance(11);
-    finish(&mut sim, 1);
+    report_completion(&mut sim, 1);
     let batch = sim.scheduler.next_batch(20, 36_000, true);
     assert!(
         matches!(&batch[..], [Write::Chunk { record, .. }] if record.finished == 0b11),
@@ -234,7 +243,7 @@
     );
     sim.revision.0 += 1;
     sim.scheduler.batch_applied(&batch, sim.revision);
-    finish(&mut sim, 2);
+    report_completion(&mut sim, 2);
     let batch = sim.scheduler.next_batch(20, 36_000, true);
     assert!(
         matches!(&batch[..], [Write::DoneAndRemove { .. }]),
@@ -242,10 +251,10 @@
     );
 }
 
-// Guards against a change for every task that starts, and for every machine that goes back: images are written where they
-// differ from what was written, and removed where they were.
+// Prevents a write for every task that starts and for every machine that is terminated: images are written only if they
+// differ from the recorded ones, and removed only if there is a record.
 #[test]
-fn images_are_written_once_and_removed_only_where_they_were() {
+fn images_are_written_once_and_removed_only_if_recorded() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     sim.add_worker("m-2", "a", false);
@@ -265,11 +274,11 @@
         sim.heartbeat("m-1");
         sim.heartbeat("m-1");
     }
-    for (machine, removed) in [("m-2", false), ("m-1", true)] {
+    for (machine, is_recorded) in [("m-2", false), ("m-1", true)] {
         sim.scheduler
             .on_terminated(&[MachineId(machine.into())], sim.now);
         let batch = sim.scheduler.next_batch(20, 36_000, false);
         let is_removal = matches!(&batch[..], [Write::Images { images: None, .. }]);
-        assert_eq!(is_removal, removed, "{machine}: {batch:?}");
+        assert_eq!(is_removal, is_recorded, "{machine}: {batch:?}");
     }
 }
--- a/src/scheduler/scenarios/queue_order.rs
+++ b/src/scheduler/scenarios/queue_order.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is, preemption, and scheduling cycles that stay bounded.
+//! Queue order, preemption, and bounds on the work of a scheduling cycle.
 
 use super::{Simulation, TOKEN, critical_service, spec, token_after};
 use crate::scheduler::{
@@ -7,7 +7,7 @@
 use crate::units::Micros;
 
 #[test]
-fn a_critical_task_preempts_a_low_one_and_keeps_its_place() {
+fn critical_task_preempts_a_low_priority_one_and_gets_its_resources() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     sim.submit(spec("j-1", 3));
@@ -15,20 +15,30 @@
     sim.heartbeat("m-1");
     sim.submit(critical_service("j-2"));
     sim.run_cycle_and_commit();
-    let stops = sim.send_heartbeat("m-1");
+    let stop_commands = sim.send_heartbeat("m-1");
     assert!(
-        matches!(stops[..], [AgentCommand::Stop { save_grace_s, .. }] if save_grace_s >= 4.0),
-        "it may save"
+        matches!(stop_commands[..], [AgentCommand::Stop { save_grace_s, .. }] if save_grace_s >= 4.0),
+        "the stopped task gets time to save its work"
     );
-    sim.workers.get_mut("m-1").unwrap().execute(&stops, TOKEN);
-    // The victim and the third task wait as well, but the room was made for the critical one.
+    sim.workers
+        .get_mut("m-1")
+        .unwrap()
+        .execute(&stop_commands, TOKEN);
+    // The preempted task and the third task wait too, but the resources were freed for the critical task.
     sim.heartbeat("m-1");
-    let names: Vec<&String> = sim.workers["m-1"].tasks.keys().map(|(n, _)| n).collect();
-    assert!(names.iter().any(|n| n.starts_with("j-2/")), "{names:?}");
+    let task_names: Vec<&String> = sim.workers["m-1"]
+        .tasks
+        .keys()
+        .map(|(name, _)| name)
+        .collect();
+    assert!(
+        task_names.iter().any(|name| name.starts_with("j-2/")),
+        "{task_names:?}"
+    );
 }
 
 #[test]
-fn low_work_never_preempts_critical_work() {
+fn low_priority_work_never_preempts_critical_work() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     sim.submit(JobSpec {
@@ -47,14 +57,14 @@
 }
 
 #[test]
-fn an_overload_is_offered_to_samples_and_the_cycle_stays_bounded() {
+fn jobs_are_offered_to_samples_of_machines_if_the_cycle_would_exceed_its_maximum_of_offers() {
     let mut sim = Simulation::new(0.0);
     for i in 0..200 {
         sim.add_worker(&format!("m-{i:06}"), "a", false);
     }
     sim.scheduler.config.max_offers_per_cycle = 5_000;
     for i in 0..2_000 {
-        // There is room for them, but no machine of their zone.
+        // The machines have free resources for them, but none is in their zone.
         sim.submit(JobSpec {
             zone: Some("b".into()),
             ..spec(&format!("j-{i:06}"), 3)
@@ -62,7 +72,7 @@
     }
     sim.scheduler.run_cycle(sim.now);
     assert!(sim.scheduler.offers_made >= 8 * 2_000);
-    // Two passes over at least eight machines for each job: far from the 800,000 of a full search.
+    // Two passes over at least eight machines for each job, rather than the 800,000 offers of a full search.
     assert!(
         sim.scheduler.offers_made <= 2 * 8 * 2_000,
         "{} offers",
@@ -70,9 +80,9 @@
     );
 }
 
-// Guards against two jobs within their guarantees taking one place from each other every few seconds.
+// Prevents two jobs within their guarantees from preempting each other every few seconds.
 #[test]
-fn a_guarantee_is_taken_from_what_is_lent_but_not_from_another_guarantee() {
+fn guarantee_preempts_borrowing_tasks_but_not_tasks_within_another_guarantee() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler.config.guarantee_start_delay = Some(Micros::secs(15));
     for name in ["one", "two"] {
@@ -103,32 +113,36 @@
     );
 }
 
-// Guards against work with a deadline being stopped, or left waiting, though other work has time to spare.
+// Prevents work with a close deadline from being preempted or left waiting while other work has time to spare.
 #[test]
-fn what_is_due_first_goes_first_and_is_stopped_last() {
+fn job_with_the_earliest_deadline_is_placed_first_and_preempted_last() {
     let mut sim = Simulation::new(0.0);
-    let due = |id: &str, due_s: f64| JobSpec {
+    let with_deadline = |id: &str, due_s: f64| JobSpec {
         due_s: Some(due_s),
         spot: false,
         ..spec(id, 1)
     };
-    sim.submit(due("j-1", 500.0));
-    sim.submit(due("j-2", 100.0));
-    sim.submit(due("j-3", 100.0));
+    sim.submit(with_deadline("j-1", 500.0));
+    sim.submit(with_deadline("j-2", 100.0));
+    sim.submit(with_deadline("j-3", 100.0));
     sim.add_worker("m-1", "a", false);
     sim.scheduler.plan_fleet(sim.now, Micros::secs(1).0);
     sim.advance(1);
     sim.heartbeat("m-1");
     sim.heartbeat("m-1");
-    let on = |sim: &Simulation, id: &str| sim.scheduler.jobs[&JobId(id.into())].live;
+    let live_tasks = |sim: &Simulation, id: &str| sim.scheduler.jobs[&JobId(id.into())].live;
     assert_eq!(
-        (on(&sim, "j-1"), on(&sim, "j-2"), on(&sim, "j-3")),
+        (
+            live_tasks(&sim, "j-1"),
+            live_tasks(&sim, "j-2"),
+            live_tasks(&sim, "j-3")
+        ),
         (0, 1, 1)
     );
-    // Now two with ample and with little time run, and a service takes the place of the one with ample time.
+    // One running task has ample time and one has little. A service preempts the one with ample time.
     let mut sim = Simulation::new(0.0);
-    sim.submit(due("j-1", 80.0));
-    sim.submit(due("j-2", 500.0));
+    sim.submit(with_deadline("j-1", 80.0));
+    sim.submit(with_deadline("j-2", 500.0));
     sim.add_worker("m-1", "a", false);
     sim.advance(1);
     sim.heartbeat("m-1");
@@ -136,17 +150,17 @@
     sim.scheduler.plan_fleet(sim.now, Micros::secs(10).0);
     sim.submit(critical_service("j-9"));
     sim.run_cycle_and_commit();
-    let stops = sim.send_heartbeat("m-1");
+    let stop_commands = sim.send_heartbeat("m-1");
     assert!(
-        matches!(&stops[..], [AgentCommand::Stop { task, .. }] if task == "j-2/0"),
-        "{stops:?}"
+        matches!(&stop_commands[..], [AgentCommand::Stop { task, .. }] if task == "j-2/0"),
+        "{stop_commands:?}"
     );
 }
 
-// Guards against stops that spare a service the fetch of its image and cost a batch job its deadline.
+// Prevents preemptions that only avoid an image fetch for a service and make a batch job miss its deadline.
 #[test]
-fn what_a_stop_would_make_late_is_not_stopped_only_to_spare_a_fetch() {
-    let stopped = |due_s: f64| {
+fn task_that_would_miss_its_deadline_is_not_preempted_only_to_avoid_an_image_fetch() {
+    let is_preempted_or_waits = |due_s: f64| {
         let mut sim = Simulation::new(0.0);
         sim.submit(JobSpec {
             due_s: Some(due_s),
@@ -161,7 +175,8 @@
         sim.heartbeat_all();
         assert_eq!(sim.workers["m-1"].running(), 2);
         sim.scheduler.plan_fleet(sim.now, Micros::secs(10).0);
-        // Its image is on the first machine; on the second, which has room, it must be fetched for too long.
+        // The service's image is on the first machine. The second machine has free resources, but fetching the image
+        // there takes too long.
         sim.scheduler
             .machines
             .get_mut(&MachineId("m-1".into()))
@@ -173,18 +188,25 @@
             ..critical_service("j-9")
         });
         sim.run_cycle_and_commit();
-        let p = sim.scheduler.jobs[&JobId("j-1".into())]
+        let placement = sim.scheduler.jobs[&JobId("j-1".into())]
             .placement(1)
             .expect("placed");
-        p.stopping.is_some() || sim.scheduler.jobs[&JobId("j-9".into())].waiting() > 0
+        placement.stopping.is_some() || sim.scheduler.jobs[&JobId("j-9".into())].waiting() > 0
     };
-    assert!(stopped(500.0), "there is time to run it again");
-    assert!(!stopped(80.0), "it would be late");
+    assert!(
+        is_preempted_or_waits(500.0),
+        "there is time to run the preempted task again"
+    );
+    assert!(
+        !is_preempted_or_waits(80.0),
+        "the preempted task would miss its deadline"
+    );
 }
 
-// Guards against scheduling cycles whose work follows the size of the fleet and of the queue, not what changed and what has room.
+// Prevents the work of a scheduling cycle from growing with the fleet and the queue, rather than with what changed and
+// which machines have free resources.
 #[test]
-fn a_cycle_of_a_large_fleet_is_bounded_and_costs_nothing_where_nothing_fits() {
+fn cycle_of_a_large_fleet_is_bounded_and_makes_no_offers_if_nothing_fits() {
     let mut sim = Simulation::new(0.0);
     for i in 0..2_000 {
         sim.add_worker(&format!("m-{i:06}"), ["a", "b"][i % 2], false);
@@ -193,7 +215,7 @@
         sim.submit(spec(&format!("j-{i:06}"), 3));
     }
     sim.advance(1);
-    let before = sim.revision;
+    let revision_before = sim.revision;
     sim.scheduler.run_cycle(sim.now);
     let max_offers = 2 * sim.scheduler.config.max_offers_per_cycle;
     assert!(
@@ -202,8 +224,8 @@
         sim.scheduler.offers_made
     );
     sim.commit();
-    // Twenty jobs' placements go into one transaction.
-    let batches = sim.revision.0 - before.0;
+    // A transaction contains the placements of twenty jobs.
+    let batches = sim.revision.0 - revision_before.0;
     assert!(batches <= 1_600 / 20 + 1, "{batches} batches");
     for _ in 0..8 {
         sim.advance(1);
@@ -216,12 +238,15 @@
         .map(|m| m.reserved.len())
         .sum();
     assert_eq!(placed, 4_000, "samples must not miss the machines that fit");
-    // Now everything is full and eight hundred tasks wait: nobody is asked, nothing is written.
+    // All machines are full and 800 tasks wait: no offers are made and nothing is written.
     sim.advance(1);
-    let before = sim.revision;
+    let revision_before = sim.revision;
     sim.run_cycle_and_commit();
-    assert_eq!((sim.scheduler.offers_made, sim.revision), (0, before));
-    // One machine has room again: only that is asked.
+    assert_eq!(
+        (sim.scheduler.offers_made, sim.revision),
+        (0, revision_before)
+    );
+    // One machine has free resources again: offers are made only to it.
     let first = MachineId("m-000000".into());
     sim.heartbeat_in_one_cycle(0);
     sim.workers
@@ -242,52 +267,58 @@
         sim.scheduler.offers_made
     );
     assert_eq!(sim.scheduler.machines[&first].reserved.len(), 2);
-    // What is kept for a placed task.
-    let kept: usize = sim
+    // Size of the stored records per placed task.
+    let stored_bytes: usize = sim
         .chunks
         .values()
         .map(|(record, _)| serde_json::to_string(record).expect("json").len())
         .sum();
-    assert!(kept <= 4_000 * 40, "{kept} bytes");
-    // All controllers restart: the new leader hears two thousand machines on which all runs on, writes only down what
-    // the last one had not, and rents and terminates nothing.
+    assert!(stored_bytes <= 4_000 * 40, "{stored_bytes} bytes");
+    // All controllers restart. The new leader receives heartbeats of 2,000 machines, whose tasks all still run. It
+    // writes only what the last leader had not written, and provisions and terminates nothing.
     sim.heartbeat_in_one_cycle(0);
     sim.change_leader(token_after(TOKEN, 1));
     sim.heartbeat_in_one_cycle(0);
     sim.heartbeat_in_one_cycle(0);
-    let before = sim.revision;
+    let revision_before = sim.revision;
     sim.heartbeat_in_one_cycle(0);
-    assert_eq!(sim.revision, before, "nothing changed, nothing is written");
+    assert_eq!(
+        sim.revision, revision_before,
+        "nothing is written if nothing changed"
+    );
     sim.scheduler.on_list(&[], sim.now);
     assert_eq!(sim.running(), 4_000);
     assert_eq!(sim.scheduler.plan_fleet(sim.now, 0).terminate, vec![]);
-    // A tenth of them dies: every one is named, in few lines.
+    // A tenth of the machines fails. All of them are logged, in few lines.
     sim.scheduler.take_events();
     sim.advance(1);
     sim.heartbeat_in_one_cycle(200);
     sim.advance(20);
     sim.heartbeat_in_one_cycle(200);
     assert_eq!(sim.scheduler.plan_fleet(sim.now, 0).terminate.len(), 200);
-    let notes = sim.info_lines();
-    let vanished = notes.iter().filter(|n| n.contains("machine_lost"));
-    let named: usize = vanished.clone().map(|n| n.matches("m-").count()).sum();
-    assert_eq!((vanished.count(), named), (8, 200));
+    let lines = sim.info_lines();
+    let lost_lines = lines.iter().filter(|line| line.contains("machine_lost"));
+    let named: usize = lost_lines
+        .clone()
+        .map(|line| line.matches("m-").count())
+        .sum();
+    assert_eq!((lost_lines.count(), named), (8, 200));
 }
 
-/// Lets small jobs come as fast as small tasks end, one task a second, and says after how many seconds a task of the
-/// large job runs.
-fn begins_among_small_ones(sim: &mut Simulation, small: &JobSpec, large: JobSpec) -> u64 {
+/// Submits a small job whenever a small task ends, one per second. Returns after how many seconds a task of the large
+/// job is placed.
+fn seconds_until_large_job_starts(sim: &mut Simulation, small: &JobSpec, large: JobSpec) -> u64 {
     sim.scheduler.config.idle_timeout = Some(Micros::secs(10_000));
-    let mut next = 0;
-    let mut small_job = |sim: &mut Simulation| {
-        next += 1;
-        let id = JobId(format!("j-{next:04}"));
+    let mut job_number = 0;
+    let mut submit_small_job = |sim: &mut Simulation| {
+        job_number += 1;
+        let id = JobId(format!("j-{job_number:04}"));
         sim.submit(JobSpec {
             id,
             ..small.clone()
         });
     };
-    (0..12).for_each(|_| small_job(sim));
+    (0..12).for_each(|_| submit_small_job(sim));
     sim.advance(1);
     sim.heartbeat_all();
     sim.heartbeat_all();
@@ -303,13 +334,13 @@
             .workers
             .get_mut(&name.expect("a worker"))
             .expect("a worker");
-        let one = worker
+        let running_task = worker
             .tasks
             .values_mut()
             .find(|s| s.0 == TaskState::Running);
-        if let Some(one) = one {
-            *one = (TaskState::Exited, Some(ExitCause::Done));
-            small_job(sim);
+        if let Some(running_task) = running_task {
+            *running_task = (TaskState::Exited, Some(ExitCause::Done));
+            submit_small_job(sim);
         }
         sim.heartbeat_all();
         if sim.scheduler.jobs[&large].live > 0 {
@@ -319,40 +350,40 @@
     240
 }
 
-// Guards against small jobs passing a large one for ever.
+// Prevents a large job from being overtaken by small ones forever.
 #[test]
-fn a_large_job_begins_though_small_ones_keep_coming() {
+fn large_job_starts_although_small_jobs_keep_arriving() {
     let small = spec("j-0", 1);
     let large = JobSpec {
         accelerators: 2.0,
         ..spec("j-9999", 1)
     };
-    // It needs a whole machine, and machines are never empty.
+    // The job needs a whole machine, and no machine is ever empty.
     let mut sim = Simulation::new(0.0);
     for i in 0..3 {
         sim.add_worker(&format!("m-{i}"), "a", false);
     }
-    let waited = begins_among_small_ones(&mut sim, &small, large.clone());
+    let waited = seconds_until_large_job_starts(&mut sim, &small, large.clone());
     assert!(waited < 120, "{waited} s for a machine");
-    // Its team is always at its limit.
+    // The team is always at its limit.
     let mut sim = Simulation::new(4.0);
     for i in 0..6 {
         sim.add_worker(&format!("m-{i}"), "a", false);
     }
-    let waited = begins_among_small_ones(&mut sim, &small, large.clone());
+    let waited = seconds_until_large_job_starts(&mut sim, &small, large.clone());
     assert!(waited < 120, "{waited} s for the team");
-    // Its tasks may only be in a zone whose machines are always taken.
+    // The job's tasks may only run in one zone, whose machines are always full.
     let mut sim = Simulation::new(0.0);
     for i in 0..4 {
         sim.add_worker(&format!("m-{i}"), ["a", "b"][i % 2], false);
     }
-    let bound = JobSpec {
+    let zone_bound = JobSpec {
         zone: Some("b".into()),
         ..large.clone()
     };
-    let waited = begins_among_small_ones(&mut sim, &small, bound);
+    let waited = seconds_until_large_job_starts(&mut sim, &small, zone_bound);
     assert!(waited < 120, "{waited} s for a zone");
-    // All its tasks must run together, in one zone.
+    // All tasks of the job must run at once, in one zone.
     let mut sim = Simulation::new(0.0);
     for i in 0..6 {
         sim.add_worker(&format!("m-{i}"), ["a", "b"][i % 2], false);
@@ -363,28 +394,30 @@
         together: true,
         ..large
     };
-    let waited = begins_among_small_ones(&mut sim, &small, gang);
+    let waited = seconds_until_large_job_starts(&mut sim, &small, gang);
     assert!(waited < 240, "{waited} s for a gang");
-    // A service at its share of one zone waits for the other, where small tasks of its own size come and go.
+    // A service that has its maximum of tasks in one zone waits for the other zone, where small tasks of the same size
+    // arrive and end.
     let mut sim = Simulation::new(0.0);
     for i in 0..4 {
         sim.add_worker(&format!("m-{i}"), ["a", "b"][i % 2], false);
     }
-    let spread = JobSpec {
+    let spread_service = JobSpec {
         tasks: 4,
         spread: true,
         priority: Priority::Low,
         class: "other".into(),
         ..critical_service("j-9999")
     };
-    let waited = begins_among_small_ones(&mut sim, &small, spread);
-    assert!(waited < 120, "{waited} s for its share");
+    let waited = seconds_until_large_job_starts(&mut sim, &small, spread_service);
+    assert!(waited < 120, "{waited} s for a place in the other zone");
 }
 
-// Guards against an image that a large fleet has on few machines only, and against small fleets being scattered.
+// Prevents an image from being on only a few machines of a large fleet, and tasks from being scattered over a small
+// fleet.
 #[test]
-fn a_slow_fetch_is_spread_over_machines_where_there_are_many() {
-    let used = |machines: usize| {
+fn job_with_a_slow_image_fetch_is_spread_over_the_machines_of_a_large_fleet() {
+    let machines_used = |machines: usize| {
         let mut sim = Simulation::new(0.0);
         for i in 0..machines {
             sim.add_worker(&format!("m-{i:04}"), "a", false);
@@ -395,29 +428,29 @@
             ..critical_service("j-1")
         });
         sim.run_cycle_and_commit();
-        let reserved = sim
+        let used = sim
             .scheduler
             .machines
             .values()
             .filter(|m| !m.reserved.is_empty());
-        reserved.count()
+        used.count()
     };
-    assert_eq!(used(10), 2);
-    assert_eq!(used(200), 4);
+    assert_eq!(machines_used(10), 2);
+    assert_eq!(machines_used(200), 4);
 }
 
 #[test]
-fn what_cannot_be_in_time_gives_way_but_not_for_ever() {
+fn job_that_cannot_meet_its_deadline_is_moved_back_but_not_forever() {
     let mut sim = Simulation::new(0.0);
-    let due = |id: &str, due_s: f64| JobSpec {
+    let with_deadline = |id: &str, due_s: f64| JobSpec {
         due_s: Some(due_s),
         ..spec(id, 1)
     };
-    // Each takes a minute: the first can't make it, the second can, the third has much time.
-    let late = sim.submit(due("j-1", 50.0));
-    let fair = sim.submit(due("j-2", 90.0));
-    let ample = sim.submit(due("j-3", 1_000.0));
-    let order = |sim: &mut Simulation, at_s: u64| {
+    // Each task takes a minute: the first job can't meet its deadline, the second can, and the third has ample time.
+    let late = sim.submit(with_deadline("j-1", 50.0));
+    let on_time = sim.submit(with_deadline("j-2", 90.0));
+    let ample = sim.submit(with_deadline("j-3", 1_000.0));
+    let queue_order = |sim: &mut Simulation, at_s: u64| {
         sim.scheduler.unix_time = Micros::secs(at_s).0;
         let mut jobs: Vec<&Job> = sim.scheduler.jobs.values().collect();
         sim.scheduler.sort_by_queue_position(&mut jobs);
@@ -425,18 +458,20 @@
         ids.collect::<Vec<_>>()
     };
     assert_eq!(
-        order(&mut sim, 0),
-        [late.clone(), fair.clone(), ample.clone()]
+        queue_order(&mut sim, 0),
+        [late.clone(), on_time.clone(), ample.clone()]
     );
     assert_eq!(
-        order(&mut sim, 25),
-        [fair.clone(), late.clone(), ample.clone()]
+        queue_order(&mut sim, 25),
+        [on_time.clone(), late.clone(), ample.clone()]
     );
-    // Even what is long overdue stays before what is due later than three times its time.
-    assert_eq!(order(&mut sim, 200), [late, fair, ample]);
+    // Even a job that is long overdue goes before one that is due later than three times the time allowed for the
+    // overdue job.
+    assert_eq!(queue_order(&mut sim, 200), [late, on_time, ample]);
 }
 
-fn spare_time(id: &str, tasks: u32) -> JobSpec {
+/// Returns the spec of a low-priority array without a deadline and without accelerators.
+fn without_deadline(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         cores: 4.0,
         accelerators: 0.0,
@@ -446,49 +481,55 @@
     }
 }
 
-// Guards against spare-time work in thousands of tasks that goes before all that has a deadline, because it came first.
+// Prevents thousands of tasks without a deadline from being placed before all tasks with one, only because they were
+// submitted first.
 #[test]
-fn what_has_no_deadline_goes_behind_what_has_one() {
+fn jobs_without_a_deadline_are_placed_after_jobs_with_one() {
     let mut sim = Simulation::new(0.0);
     for i in 0..4 {
         sim.add_worker(&format!("m-{i}"), "a", true);
     }
-    sim.submit(spare_time("j-1", 100));
-    let dated = JobSpec {
+    sim.submit(without_deadline("j-1", 100));
+    let job_with_deadline = JobSpec {
         due_s: Some(200.0),
         ..spec("j-2", 8)
     };
-    sim.submit(dated);
+    sim.submit(job_with_deadline);
     sim.heartbeat_all();
-    let on = |sim: &Simulation, job: &str| {
+    let placed_tasks = |sim: &Simulation, job: &str| {
         let tasks = sim.workers.values().flat_map(|w| w.tasks.keys());
-        tasks.filter(|(take, _)| take.starts_with(job)).count()
+        tasks.filter(|(task, _)| task.starts_with(job)).count()
     };
-    assert_eq!(on(&sim, "j-2/"), 8);
-    assert_eq!(on(&sim, "j-1/"), 4, "and it takes what is left beside");
+    assert_eq!(placed_tasks(&sim, "j-2/"), 8);
+    assert_eq!(
+        placed_tasks(&sim, "j-1/"),
+        4,
+        "the job without a deadline gets the remaining resources"
+    );
 }
 
-// Guards against processors used up beside free accelerators, which are paid for and of no use then.
+// Prevents the processors of machines with free accelerators from being used up: the accelerators would be paid for but
+// unusable.
 #[test]
-fn work_without_accelerators_leaves_what_the_free_ones_need() {
+fn tasks_without_accelerators_leave_processors_for_free_accelerators() {
     let mut sim = Simulation::new(0.0);
     for i in 0..3 {
         sim.add_worker(&format!("m-{i}"), "a", false);
     }
     sim.submit(critical_service("j-1"));
     sim.heartbeat_all();
-    sim.submit(spare_time("j-2", 100));
+    sim.submit(without_deadline("j-2", 100));
     sim.advance(1);
     sim.heartbeat_all();
     assert_eq!(
         sim.workers["m-0"].running(),
         2,
-        "one beside 6 processors in use and 6 kept"
+        "one task next to 6 processors in use and 6 kept free"
     );
     assert_eq!(
         sim.workers["m-1"].running(),
         4,
-        "nothing is kept where no accelerator is used"
+        "nothing is kept free where no accelerator is in use"
     );
     sim.submit(critical_service("j-3"));
     sim.advance(1);
@@ -496,6 +537,6 @@
     assert_eq!(
         sim.workers["m-0"].running(),
         3,
-        "so the next has its place at once"
+        "so the next service is placed at once"
     );
 }
--- a/src/scheduler/scenarios/recovery.rs
+++ b/src/scheduler/scenarios/recovery.rs
@@ -1,4 +1,4 @@
-//! New leaders and restarts.
+//! Changes of leader, restarts of all controllers and losses of stored state.
 
 use super::{Simulation, TOKEN, aborted, count_starts, spec, token_after};
 use crate::cloud_types::{Listed, ListedStatus};
@@ -6,28 +6,31 @@
 use crate::units::Micros;
 
 #[test]
-fn a_new_leader_does_not_take_absence_for_proof_until_its_token_was_seen() {
+fn new_leader_does_not_release_an_absent_task_until_its_token_is_acknowledged() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     sim.submit(spec("j-1", 1));
     sim.run_cycle_and_commit();
-    // The old leader's start is on its way when the new one takes over.
-    let late = sim.send_heartbeat("m-1");
+    // The start sent by the old leader is still in transit when the new leader takes over.
+    let delayed_commands = sim.send_heartbeat("m-1");
     sim.change_leader(token_after(TOKEN, 1));
     sim.add_worker("m-2", "a", false);
     let commands = sim.send_heartbeat("m-1");
     assert_eq!(
         count_starts(&commands),
         0,
-        "the report shows the task absent, but under the old token"
+        "the heartbeat lacks the task, but carries the old token"
     );
     assert_eq!(
         sim.workers["m-2"].running(),
         0,
-        "so it is not offered elsewhere"
+        "the task is not placed elsewhere"
     );
-    // The late start arrives first after all: the task runs once, where it was placed.
-    sim.workers.get_mut("m-1").unwrap().execute(&late, TOKEN);
+    // The delayed start arrives first: the task runs once, where it was placed.
+    sim.workers
+        .get_mut("m-1")
+        .unwrap()
+        .execute(&delayed_commands, TOKEN);
     sim.workers
         .get_mut("m-1")
         .unwrap()
@@ -38,25 +41,28 @@
 }
 
 #[test]
-fn a_new_leader_frees_what_is_absent_under_its_own_token() {
+fn new_leader_releases_a_task_that_is_absent_under_its_own_token() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     sim.submit(spec("j-1", 1));
     sim.run_cycle_and_commit();
-    let late = sim.send_heartbeat("m-1");
+    let delayed_commands = sim.send_heartbeat("m-1");
     sim.change_leader(token_after(TOKEN, 1));
     sim.heartbeat("m-1");
     sim.heartbeat("m-1");
-    // The deposed leader's answer is dropped, as its token is lower now.
-    sim.workers.get_mut("m-1").unwrap().execute(&late, TOKEN);
+    // The worker drops the old leader's answer, as its token is lower than the highest one received.
+    sim.workers
+        .get_mut("m-1")
+        .unwrap()
+        .execute(&delayed_commands, TOKEN);
     sim.heartbeat("m-1");
     assert_eq!(sim.running(), 1);
     let attempts: Vec<u64> = sim.workers["m-1"].tasks.keys().map(|(_, a)| *a).collect();
-    assert_eq!(attempts, vec![2], "attempts only rise");
+    assert_eq!(attempts, vec![2], "attempt numbers only increase");
 }
 
 #[test]
-fn after_a_restart_of_all_controllers_nothing_runs_twice_and_nothing_is_lost() {
+fn after_a_restart_of_all_controllers_no_task_runs_twice_and_none_is_lost() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     sim.add_worker("m-2", "b", false);
@@ -68,28 +74,29 @@
     sim.heartbeat_all();
     sim.heartbeat_all();
     assert_eq!(sim.running(), 4);
-    for w in sim.workers.values_mut() {
-        w.exit_all(ExitCause::Done);
+    for worker in sim.workers.values_mut() {
+        worker.exit_all(ExitCause::Done);
     }
     sim.heartbeat_all();
     sim.heartbeat_all();
     assert_eq!(sim.done.len(), 1);
 }
 
-// Guards against slow starts after a change of leader, when nobody knew any more which machine had which image.
+// Prevents slow starts after a change of leader: a new leader without records of the images on machines would place
+// tasks where the image must be fetched.
 #[test]
-fn a_new_leader_knows_which_machine_has_an_image() {
+fn new_leader_places_tasks_by_the_recorded_images() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-2", "a", false);
-    let first = sim.submit(spec("j-1", 1));
+    let first_job = sim.submit(spec("j-1", 1));
     sim.run_cycle_and_commit();
     sim.heartbeat("m-2");
     sim.heartbeat("m-2");
-    sim.scheduler.end_job(&first, aborted(0));
+    sim.scheduler.end_job(&first_job, aborted(0));
     sim.heartbeat("m-2");
     sim.heartbeat("m-2");
     sim.commit();
-    sim.records.remove(&first);
+    sim.records.remove(&first_job);
     sim.add_worker("m-1", "a", false);
     sim.change_leader(token_after(TOKEN, 1));
     sim.heartbeat_all();
@@ -98,23 +105,24 @@
     sim.run_cycle_and_commit();
     sim.heartbeat_all();
     assert_eq!(sim.workers["m-2"].running(), 1);
-    let gone = MachineId("m-2".into());
+    let terminated = MachineId("m-2".into());
     sim.scheduler
-        .on_terminated(std::slice::from_ref(&gone), sim.now);
+        .on_terminated(std::slice::from_ref(&terminated), sim.now);
     sim.commit();
-    assert!(!sim.images.contains_key(&gone));
+    assert!(!sim.images.contains_key(&terminated));
 }
 
-// Guards against a machine that is back under a new agent epoch before the old one was missed: what it lost starts again,
-// what was on its way to the old agent epoch is not taken for started, and one such return is no deafness.
+// A worker may restart with a new agent epoch before the heartbeats of the old one are missed. The tasks that it lost
+// start again, commands in transit to the old agent epoch do not count as received, and a single restart does not make
+// the machine count as unreachable for answers.
 #[test]
-fn a_machine_back_at_once_under_a_new_agent_epoch_starts_its_tasks_again() {
+fn tasks_of_a_worker_that_restarts_at_once_with_a_new_agent_epoch_are_started_again() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     sim.submit(spec("j-1", 2));
     sim.run_cycle_and_commit();
-    let lost = sim.send_heartbeat("m-1");
-    assert_eq!(count_starts(&lost), 2);
+    let lost_commands = sim.send_heartbeat("m-1");
+    assert_eq!(count_starts(&lost_commands), 2);
     let worker = sim.workers.get_mut("m-1").expect("a worker");
     (worker.agent_epoch, worker.sequence) = (2, 0);
     sim.heartbeat("m-1");
@@ -132,12 +140,12 @@
     assert!(sim.scheduler.plan_fleet(sim.now, 0).terminate.is_empty());
 }
 
-// Guards against a new leader that rents anew what runs already, and against one that waits though it heard all.
+// Prevents a new leader from provisioning machines that already exist, and from waiting although all have reported.
 #[test]
-fn a_new_leader_provisions_once_it_has_heard_what_is_up() {
+fn new_leader_provisions_only_after_all_running_machines_have_reported() {
     let mut sim = Simulation::new(0.0);
     sim.change_leader(token_after(TOKEN, 1));
-    let up = Listed {
+    let listed_machine = Listed {
         machine: MachineId("m-1".into()),
         machine_type: "rig".into(),
         zone: "a".into(),
@@ -149,72 +157,81 @@
     assert_eq!(
         sim.scheduler.plan_fleet(sim.now, 0).provision,
         vec![],
-        "nothing is known yet"
+        "the machine list has not been read"
     );
-    sim.scheduler.on_list(&[up], sim.now);
+    sim.scheduler.on_list(&[listed_machine], sim.now);
     assert_eq!(
         sim.scheduler.plan_fleet(sim.now, 0).provision,
         vec![],
-        "one is up and not heard"
+        "a listed machine has not reported"
     );
     sim.add_worker("m-1", "a", false);
     sim.advance(1);
     sim.heartbeat("m-1");
-    let rented: usize = sim
+    let provisioned: usize = sim
         .scheduler
         .plan_fleet(sim.now, 0)
         .provision
         .iter()
-        .map(|w| w.count)
+        .map(|request| request.count)
         .sum();
-    assert_eq!(rented, 3);
+    assert_eq!(provisioned, 3);
 }
 
-// Guards against tasks that wait for machines which the leader before gave back, though its note of them still stands.
+// Prevents tasks from waiting for machines that an earlier leader terminated although its provisioning record still
+// contains them.
 #[test]
-fn a_new_leader_does_not_count_on_what_should_long_be_up() {
+fn new_leader_does_not_count_machines_past_their_provisioning_time_as_incoming() {
     let mut sim = Simulation::new(0.0);
     let pool = Pool {
         machine_type: "rig".into(),
         zone: "a".into(),
         spot: true,
     };
-    let rents = |sim: &mut Simulation, age: u64| {
+    let scale_out_requests = |sim: &mut Simulation, age_s: u64| {
         sim.change_leader(token_after(sim.scheduler.token(), 1));
         sim.scheduler.on_list(&[], sim.now);
-        let noted = [MachineId("m-1".into())];
+        let recorded = [MachineId("m-1".into())];
         sim.scheduler
-            .inherit_provisioned(&pool, &noted, Micros::secs(age), sim.now);
+            .inherit_provisioned(&pool, &recorded, Micros::secs(age_s), sim.now);
         sim.advance(6);
         sim.scheduler.plan_fleet(sim.now, 0).provision.len()
     };
     sim.submit(spec("j-1", 2));
-    assert_eq!(rents(&mut sim, 10), 0, "it boots");
-    assert_eq!(rents(&mut sim, 80), 1, "it is not there, or stuck");
+    assert_eq!(
+        scale_out_requests(&mut sim, 10),
+        0,
+        "the machine is being provisioned"
+    );
+    assert_eq!(
+        scale_out_requests(&mut sim, 80),
+        1,
+        "the machine is missing or stuck"
+    );
 }
 
-// Guards against a new leader that takes what the one before gave back for boots that are late, as on the incident inc-f66a:
-// it then waits for other late machines of these zones, and rents elsewhere first.
+// Prevents a new leader from counting machines that the earlier leader terminated as late, as in incident inc-f66a: it
+// would then wait longer for other late machines of these zones, and prefer other zones for scale-out.
 #[test]
-fn what_an_earlier_leader_provisioned_and_the_list_lacks_is_no_late_boot() {
+fn unlisted_machines_of_an_earlier_leader_do_not_count_as_late() {
     let mut sim = Simulation::new(0.0);
     let pool = Pool {
         machine_type: "rig".into(),
         zone: "a".into(),
         spot: true,
     };
-    let noted: Vec<MachineId> = (0..4).map(|i| MachineId(format!("m-{i}"))).collect();
+    let recorded: Vec<MachineId> = (0..4).map(|i| MachineId(format!("m-{i}"))).collect();
     sim.change_leader(token_after(sim.scheduler.token(), 1));
     sim.scheduler
-        .inherit_provisioned(&pool, &noted, Micros::secs(69), sim.now);
+        .inherit_provisioned(&pool, &recorded, Micros::secs(69), sim.now);
     sim.scheduler.on_list(&[], sim.now);
     sim.submit(spec("j-1", 2));
-    let mut rented = 0;
+    let mut request_count = 0;
     for _ in 0..24 {
         sim.advance(1);
-        rented += sim.scheduler.plan_fleet(sim.now, 0).provision.len();
+        request_count += sim.scheduler.plan_fleet(sim.now, 0).provision.len();
     }
-    assert!(rented > 0, "nothing comes");
+    assert!(request_count > 0, "nothing is provisioned");
     assert_eq!(
         sim.scheduler
             .machines
@@ -223,20 +240,20 @@
             .count(),
         0
     );
-    let notes = sim.info_lines();
+    let lines = sim.info_lines();
     assert!(
-        notes.iter().any(|n| n.contains("why=lost")),
-        "they are dropped: {notes:?}"
+        lines.iter().any(|line| line.contains("why=lost")),
+        "the machines are not removed: {lines:?}"
     );
     assert!(
-        !notes.iter().any(|n| n.contains("provisioning_slow")),
-        "{notes:?}"
+        !lines.iter().any(|line| line.contains("provisioning_slow")),
+        "{lines:?}"
     );
 }
 
-// Guards against a job said to be done too early, or run again, because its tasks end under one leader each.
+// Prevents a job whose tasks each end under a different leader from completing too early or running again.
 #[test]
-fn tasks_that_end_far_apart_over_changes_of_leader_are_done_once_all_are() {
+fn job_whose_tasks_end_under_different_leaders_completes_once_all_tasks_have() {
     let mut sim = Simulation::new(0.0);
     for i in 0..3 {
         sim.add_worker(&format!("m-{i}"), "a", false);
@@ -250,11 +267,14 @@
     sim.heartbeat_all();
     assert_eq!(sim.running(), 3);
     for i in 0..3 {
-        assert!(!sim.done.contains(&job), "{i} of 3 are finished");
+        assert!(
+            !sim.done.contains(&job),
+            "only {i} of 3 tasks have finished"
+        );
         let worker = sim.workers.get_mut(&format!("m-{i}")).expect("a worker");
         worker.exit_all(ExitCause::Done);
         sim.heartbeat_all();
-        assert_eq!(sim.running(), 2 - i, "nothing runs again");
+        assert_eq!(sim.running(), 2 - i, "no task runs again");
         if i < 2 {
             sim.change_leader(token_after(sim.scheduler.token(), 1));
             sim.heartbeat_all();
@@ -265,9 +285,9 @@
     assert!(sim.done.contains(&job));
 }
 
-// Guards against a recovery of which nobody can tell how far it is: what no worker has confirmed is counted until it is.
+// The log must show how far a recovery has progressed: placements count as unconfirmed until they are resolved.
 #[test]
-fn a_new_leader_logs_what_it_has_confirmed_and_what_not_yet() {
+fn new_leader_logs_how_many_placements_are_confirmed_and_unconfirmed() {
     let mut sim = Simulation::new(0.0);
     for name in ["m-1", "m-2", "m-3"] {
         sim.add_worker(name, "a", false);
@@ -281,27 +301,27 @@
     sim.heartbeat_all();
     assert_eq!(sim.running(), 3);
     sim.change_leader(token_after(TOKEN, 1));
-    let told = |sim: &mut Simulation| {
+    let recovery_lines = |sim: &mut Simulation| {
         sim.scheduler.plan_fleet(sim.now, 0);
-        let notes = sim.info_lines();
-        let about = notes.into_iter().filter(|n| n.contains("=recovery_"));
-        about.collect::<Vec<String>>().join("\n")
+        let lines = sim.info_lines();
+        let matching_lines = lines.into_iter().filter(|line| line.contains("=recovery_"));
+        matching_lines.collect::<Vec<String>>().join("\n")
     };
-    assert!(told(&mut sim).contains("recovery_started token=8 recorded=3"));
-    // One agrees, one has ended; the third says nothing.
+    assert!(recovery_lines(&mut sim).contains("recovery_started token=8 recorded=3"));
+    // One placement is confirmed, one task has ended, and the third machine does not report.
     sim.heartbeat("m-1");
     let worker = sim.workers.get_mut("m-2").expect("a worker");
     worker.exit_all(ExitCause::Done);
     sim.heartbeat("m-2");
     sim.advance(10);
-    let line = told(&mut sim);
+    let line = recovery_lines(&mut sim);
     assert!(
         line.contains("recovery_progress token=8 unconfirmed=1 agreed=1 ended=1"),
         "{line}"
     );
     sim.scheduler
         .on_terminated(&[MachineId("m-3".into())], sim.now);
-    let line = told(&mut sim);
+    let line = recovery_lines(&mut sim);
     assert!(
         line.contains("recovery_completed token=8 recorded=3"),
         "{line}"
@@ -310,17 +330,17 @@
         line.contains("agreed=1 ended=1 gone=0 machine_returned=1"),
         "{line}"
     );
-    assert_eq!(told(&mut sim), "");
+    assert_eq!(recovery_lines(&mut sim), "");
 }
 
-// Guards against two workers that claim one task after a loss, whose records lack what was placed last.
+// After a loss of stored state, the records may lack the latest placements, so two workers may report the same task.
 #[test]
-fn after_a_loss_the_higher_attempt_of_a_task_counts_and_nothing_is_offered_before_all_were_heard() {
+fn after_a_loss_the_higher_attempt_is_kept_and_offers_wait_until_all_machines_report() {
     let mut sim = Simulation::new(0.0);
     for name in ["m-1", "m-2", "m-3"] {
         sim.add_worker(name, "a", false);
     }
-    let id = sim.submit(spec("j-1", 3));
+    let job_id = sim.submit(spec("j-1", 3));
     sim.run_cycle_and_commit();
     sim.heartbeat_all();
     let reserved = |sim: &Simulation, name: &str| {
@@ -329,7 +349,7 @@
             .len()
     };
     assert_eq!((reserved(&sim, "m-1"), reserved(&sim, "m-2")), (2, 1));
-    // The records are from before the first task was lost and placed again on another machine, which runs it.
+    // The records date from before the first task was lost and placed again on another machine, which runs it.
     let run = |sim: &mut Simulation, name: &str, attempt: u64| {
         let worker = sim.workers.get_mut(name).expect("a worker");
         let running = (TaskState::Running, None);
@@ -339,23 +359,27 @@
     sim.change_leader(token_after(TOKEN, 1));
     sim.scheduler.begin_rebuild(1, sim.now);
     sim.submit(spec("j-2", 1));
-    let begun = sim.now;
+    let list_requested_at = sim.now;
     for _ in 0..2 {
         sim.advance(3);
         for name in ["m-1", "m-3"] {
             sim.heartbeat(name);
         }
     }
-    let placed = |sim: &Simulation| {
-        sim.scheduler.jobs[&id]
+    let placement_of_first_task = |sim: &Simulation| {
+        sim.scheduler.jobs[&job_id]
             .placement(0)
             .map(|p| (p.machine.0.clone(), p.attempt))
     };
-    assert_eq!(placed(&sim), Some(("m-3".into(), 7)));
-    let first = &sim.workers["m-1"].tasks[&("j-1/0".into(), 1)];
-    assert_eq!(first.0, TaskState::Exited, "the lower attempt is stopped");
-    // One machine was not heard, and the list is too old to tell of all there are.
-    sim.scheduler.on_list(&[], begun);
+    assert_eq!(placement_of_first_task(&sim), Some(("m-3".into(), 7)));
+    let lower_attempt = &sim.workers["m-1"].tasks[&("j-1/0".into(), 1)];
+    assert_eq!(
+        lower_attempt.0,
+        TaskState::Exited,
+        "the lower attempt is stopped"
+    );
+    // One machine has not reported, and the machine list is too old to contain all machines.
+    sim.scheduler.on_list(&[], list_requested_at);
     assert!(!sim.scheduler.check_rebuild(sim.now));
     sim.run_cycle_and_commit();
     assert_eq!(sim.scheduler.jobs[&JobId("j-2".into())].live, 0);
@@ -385,6 +409,6 @@
     let attempt = job.placement(0).map_or(0, |p| p.attempt);
     assert!(
         attempt >= 1 << 32,
-        "above all that were given out before: {attempt}"
+        "not above all earlier attempts: {attempt}"
     );
 }
--- a/src/scheduler/scenarios/scale.rs
+++ b/src/scheduler/scenarios/scale.rs
@@ -1,5 +1,5 @@
-//! How the work grows with the fleet: each scenario runs with few and with eight times as many machines and jobs, and counts
-//! the steps of loops over machines, jobs and tasks.
+//! Growth of the scheduler's work with the size of the fleet. Most of these tests compare a small fleet with one of eight
+//! times as many machines and jobs, by the number of loop iterations over machines, jobs and tasks.
 
 use super::{Simulation, critical_service, spec};
 use crate::scheduler::{ExitCause, JobId, JobSpec, MachineId, Pool};
@@ -7,28 +7,28 @@
 
 const SMALL_FLEET: usize = 500;
 const LARGE_FLEET: usize = 4_000;
-/// Work that grows with the fleet grows by eight, and by a little more for searches in an index; work that grows with the
-/// square of it would grow by sixty-four.
+/// Maximum growth of work that is proportional to the size of the fleet: a factor of 8, and a little more for searches
+/// in an index. Work that is proportional to the square of the size would grow by a factor of 64.
 const LINEAR: f64 = 8.0 * 1.5;
 
-/// Steps that something takes.
+/// Returns the number of steps that `work` takes, at least 1.
 fn steps(sim: &mut Simulation, work: impl FnOnce(&mut Simulation)) -> f64 {
-    let before = sim.scheduler.steps();
+    let steps_before = sim.scheduler.steps();
     work(sim);
-    (sim.scheduler.steps() - before).max(1) as f64
+    (sim.scheduler.steps() - steps_before).max(1) as f64
 }
 
-/// Asserts that eight times as many machines take no more than that many times the work.
+/// Asserts that the work with eight times as many machines is at most `max_growth` times as large.
 fn assert_growth(max_growth: f64, measure: impl Fn(usize) -> f64) {
-    let (few, many) = (measure(SMALL_FLEET), measure(LARGE_FLEET));
-    let growth = many / few;
+    let (small, large) = (measure(SMALL_FLEET), measure(LARGE_FLEET));
+    let growth = large / small;
     assert!(
         growth <= max_growth,
-        "{few} and {many} steps: {growth:.1} times"
+        "{small} and {large} steps: {growth:.1} times"
     );
 }
 
-/// A fleet of empty machines that heartbeat.
+/// Creates a fleet of ready machines without tasks.
 fn empty_fleet(machines: usize) -> Simulation {
     let mut sim = Simulation::new(0.0);
     for i in 0..machines {
@@ -38,7 +38,7 @@
     sim
 }
 
-/// A fleet on which nothing more has room, and half as many jobs that wait.
+/// Creates a fleet of machines without free resources, and half as many waiting jobs.
 fn full_fleet(machines: usize) -> Simulation {
     let mut sim = empty_fleet(machines);
     sim.submit(JobSpec {
@@ -57,13 +57,14 @@
     sim.heartbeat_in_one_cycle(0);
     sim.heartbeat_in_one_cycle(0);
     assert_eq!(sim.running(), 2 * machines);
-    backlog(&mut sim, machines / 2);
+    submit_backlog(&mut sim, machines / 2);
     sim.advance(1);
     sim.run_cycle_and_commit();
     sim
 }
 
-fn backlog(sim: &mut Simulation, jobs: usize) {
+/// Submits jobs of three tasks each, with eight different images.
+fn submit_backlog(sim: &mut Simulation, jobs: usize) {
     for i in 0..jobs {
         let image = format!("image-{}", i % 8);
         sim.submit(JobSpec {
@@ -74,11 +75,11 @@
 }
 
 #[test]
-fn a_cycle_that_fills_an_empty_fleet_takes_work_in_proportion() {
+fn work_of_a_cycle_that_fills_an_empty_fleet_is_proportional_to_the_fleet() {
     assert_growth(LINEAR, |machines| {
         let mut sim = empty_fleet(machines);
         sim.scheduler.config.max_offers_per_cycle = 10_000_000;
-        backlog(&mut sim, machines / 2);
+        submit_backlog(&mut sim, machines / 2);
         let steps = steps(&mut sim, |sim| sim.scheduler.run_cycle(sim.now));
         let placed: usize = sim
             .scheduler
@@ -86,13 +87,13 @@
             .values()
             .map(|m| m.reserved.len())
             .sum();
-        assert_eq!(placed, machines / 2 * 3, "every task has its place");
+        assert_eq!(placed, machines / 2 * 3, "every task is placed");
         steps
     });
 }
 
 #[test]
-fn a_cycle_of_a_full_fleet_with_a_backlog_takes_work_in_proportion() {
+fn work_of_a_cycle_with_a_full_fleet_and_a_backlog_is_proportional_to_the_fleet() {
     assert_growth(LINEAR, |machines| {
         let mut sim = full_fleet(machines);
         sim.advance(30);
@@ -101,13 +102,13 @@
 }
 
 #[test]
-fn a_cycle_in_which_nothing_is_due_takes_no_work() {
+fn cycle_without_due_jobs_takes_almost_no_work() {
     let mut sim = full_fleet(LARGE_FLEET);
     assert!(steps(&mut sim, |sim| sim.scheduler.run_cycle(sim.now)) < 10.0);
 }
 
 #[test]
-fn a_heartbeat_takes_the_same_work_in_a_fleet_of_any_size() {
+fn work_of_a_heartbeat_is_independent_of_the_fleet() {
     assert_growth(1.5, |machines| {
         let mut sim = full_fleet(machines);
         let heartbeat = sim
@@ -124,9 +125,10 @@
     });
 }
 
-// Guards against the first scheduling cycle of a new leader, and the plans after it, taking as long as the square of the fleet.
+// Prevents the work of the first scheduling cycle of a new leader, and of its fleet plans, from growing with the square
+// of the fleet.
 #[test]
-fn a_plan_of_the_fleet_takes_work_in_proportion() {
+fn work_of_a_fleet_plan_is_proportional_to_the_fleet() {
     for full in [true, false] {
         assert_growth(LINEAR, |machines| {
             let mut sim = if full {
@@ -143,7 +145,7 @@
                 sim.scheduler
                     .inherit_provisioned(&pool, &names, Micros::ZERO, sim.now);
                 sim.advance(10);
-                backlog(&mut sim, machines / 2);
+                submit_backlog(&mut sim, machines / 2);
                 sim
             };
             sim.scheduler.config.max_scale_out_per_cycle = 40;
@@ -154,10 +156,10 @@
     }
 }
 
-// Guards against a plan that looks at no more than ten thousand tasks: of a job of small tasks four hundred machines were
-// provisioned, and no more before these were up.
+// A fleet plan that considered at most 10,000 tasks provisioned only 400 machines for a job of small tasks, and no more
+// until these were ready.
 #[test]
-fn a_fleet_for_tens_of_thousands_of_small_tasks_is_provisioned_before_the_first_boots() {
+fn machines_for_tens_of_thousands_of_small_tasks_are_provisioned_before_the_first_is_ready() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler.config.max_scale_out_per_cycle = 500;
     sim.submit(JobSpec {
@@ -167,26 +169,29 @@
         ..spec("j-1", 100_000)
     });
     sim.advance(60);
-    let mut rented = 0;
+    let mut provisioned = 0;
     for _ in 0..20 {
         let plan = sim.scheduler.plan_fleet(sim.now, 1_000_000_000);
         for request in plan.provision {
-            let names = (0..request.count).map(|i| MachineId(format!("m-{:06}", rented + i)));
+            let names = (0..request.count).map(|i| MachineId(format!("m-{:06}", provisioned + i)));
             let names: Vec<MachineId> = names.collect();
-            rented += names.len();
+            provisioned += names.len();
             sim.scheduler.on_scale_out_started(&request);
             sim.scheduler
                 .on_scale_out_completed(&request, &names, sim.now);
         }
         sim.now = sim.now + Micros::millis(500);
     }
-    // Thirty-two on a machine, which has sixteen processors.
-    assert!((3_125..3_300).contains(&rented), "{rented} machines");
+    // 32 tasks fit on a machine with 16 processors.
+    assert!(
+        (3_125..3_300).contains(&provisioned),
+        "{provisioned} machines"
+    );
 }
 
-// Guards against a bound of 512 tasks a job and round that keeps short tasks from ever filling a large fleet.
+// With a limit of 512 tasks per job and scheduling cycle, short tasks would never fill a large fleet.
 #[test]
-fn one_job_may_place_a_task_for_each_machine_in_a_cycle() {
+fn one_job_may_place_a_task_per_machine_in_a_cycle() {
     let mut sim = empty_fleet(LARGE_FLEET);
     sim.submit(spec("j-1", 3 * LARGE_FLEET as u32));
     sim.run_cycle_and_commit();
@@ -197,32 +202,35 @@
     );
 }
 
-// Guards against a backlog of thousands of jobs that are all offered every four hundred milliseconds.
+// Prevents a backlog of thousands of jobs from being offered in full every 400 ms.
 #[test]
-fn a_backlog_is_offered_less_often_the_longer_it_is_and_all_of_it() {
+fn all_jobs_of_a_backlog_are_offered_but_less_often_the_longer_it_is() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler.config.max_offers_per_cycle = 1_600;
     sim.add_worker("m-1", "a", true);
-    backlog(&mut sim, 1_000);
+    submit_backlog(&mut sim, 1_000);
     sim.submit(critical_service("j-live"));
     sim.run_cycle_and_commit();
-    let tries = |sim: &Simulation, id: &str| {
+    let time_until_next_offer = |sim: &Simulation, id: &str| {
         sim.scheduler.jobs[&JobId(id.into())]
             .next_offer_at
             .since(sim.now)
     };
-    let later = tries(&sim, "j-w000999");
-    // A hundred jobs in an interval of 0.4 s, and a job more than a thousand.
-    assert!((4_400..=4_500).contains(&later.as_millis()), "{later}");
+    let retry_delay = time_until_next_offer(&sim, "j-w000999");
+    // 100 jobs are offered per retry interval of 0.4 s, and 1,001 jobs wait.
+    assert!(
+        (4_400..=4_500).contains(&retry_delay.as_millis()),
+        "{retry_delay}"
+    );
     assert!(
-        tries(&sim, "j-live").as_millis() <= 500,
-        "what is critical does not wait longer"
+        time_until_next_offer(&sim, "j-live").as_millis() <= 500,
+        "critical jobs do not wait longer"
     );
 }
 
-// Guards against chunks whose finishes wait being looked at again for each batch.
+// Prevents chunks whose writes are deferred from being examined again for each batch.
 #[test]
-fn deferred_finishes_are_not_examined_for_each_batch() {
+fn chunks_with_deferred_completions_are_not_examined_for_each_batch() {
     let mut sim = empty_fleet(SMALL_FLEET);
     sim.submit(spec("j-1", 2 * SMALL_FLEET as u32));
     sim.run_cycle_and_commit();
@@ -238,15 +246,15 @@
     assert_eq!(
         sim.scheduler.next_batch(20, 36_000, true),
         vec![],
-        "they wait for others"
+        "completions are deferred"
     );
-    let again = steps(&mut sim, |sim| {
+    let repeated_steps = steps(&mut sim, |sim| {
         for _ in 0..10 {
             assert_eq!(sim.scheduler.next_batch(20, 36_000, true), vec![]);
         }
     });
-    assert!(again < 10.0, "{again} steps");
-    // Ten seconds later they are written all the same.
+    assert!(repeated_steps < 10.0, "{repeated_steps} steps");
+    // After the maximum delay of 10 s, they are written.
     sim.advance(11);
     sim.scheduler.run_cycle(sim.now);
     assert_ne!(sim.scheduler.next_batch(20, 36_000, true), vec![]);
