--- a/src/scheduler/scenarios/latency_sensitive.rs
+++ b/src/scheduler/scenarios/latency_sensitive.rs
@@ -209,8 +209,7 @@
 
 // Prevents the completions of many short tasks from using up the write rate that starts wait for.
 #[test]
-fn completions_are_deferred_until_the_next_write_of_their_job_or_a_timeout_while_writes_are_limited()
- {
+fn completions_wait_for_a_timeout_or_the_end_of_the_job_while_writes_are_limited() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     sim.submit(JobSpec {
--- a/src/scheduler/scenarios/queue_order.rs
+++ b/src/scheduler/scenarios/queue_order.rs
@@ -413,8 +413,8 @@
     assert!(waited < 120, "{waited} s for a place in the other zone");
 }
 
-// Prevents an image from being on only a few machines of a large fleet, and tasks from being scattered over a small
-// fleet.
+// Prevents an image from being cached on only a few machines of a large fleet, and tasks from being scattered over a
+// small fleet.
 #[test]
 fn job_with_a_slow_image_fetch_is_spread_over_the_machines_of_a_large_fleet() {
     let machines_used = |machines: usize| {
--- a/src/scheduler/scenarios/recovery.rs
+++ b/src/scheduler/scenarios/recovery.rs
@@ -243,7 +243,7 @@
     let lines = sim.info_lines();
     assert!(
         lines.iter().any(|line| line.contains("why=lost")),
-        "the machines are not removed: {lines:?}"
+        "the machines are removed: {lines:?}"
     );
     assert!(
         !lines.iter().any(|line| line.contains("provisioning_slow")),
@@ -407,8 +407,5 @@
     let job = &sim.scheduler.jobs[&JobId("j-2".into())];
     assert_eq!(job.live, 1);
     let attempt = job.placement(0).map_or(0, |p| p.attempt);
-    assert!(
-        attempt >= 1 << 32,
-        "not above all earlier attempts: {attempt}"
-    );
+    assert!(attempt >= 1 << 32, "above all earlier attempts: {attempt}");
 }
