--- a/src/scheduler/scenarios/scale.rs
+++ b/src/scheduler/scenarios/scale.rs
@@ -1,5 +1,5 @@
-//! Growth of the scheduler's work with the size of the fleet. Most of these tests compare a small fleet with one that has
-//! eight times as many machines and jobs, by the number of loop iterations over machines, jobs and tasks.
+//! Growth of the scheduler's work with the size of the fleet. Most of these tests compare a small fleet with one that
+//! has eight times as many machines and jobs, by the number of loop iterations over machines, jobs and tasks.
 
 use super::{Simulation, critical_service, spec};
 use crate::scheduler::{ExitCause, JobId, JobSpec, MachineId, Pool};
