--- a/src/config/derived.rs
+++ b/src/config/derived.rs
@@ -97,7 +97,7 @@
             recovery_report: self.recovery_report == Some(1),
             controllers: facts.size,
             heartbeat_interval: platform.heartbeat_interval(),
-            agent_lease: Micros::from_secs_f64(facts.workers.lease_s),
+            worker_lease: Micros::from_secs_f64(facts.workers.lease_s),
             cancellation_timeout: Micros::from_secs_f64(facts.workers.cancel_s),
             list_lag: Micros::from_secs_f64(facts.cloud.list_lag_s),
             max_start_delay: max_start_delays(&facts.objectives),
--- a/src/scheduler/commands.rs
+++ b/src/scheduler/commands.rs
@@ -15,7 +15,7 @@
 #[derive(Default)]
 struct HeartbeatResponse {
     commands: Vec<AgentCommand>,
-    /// Sent after the other commands. If there are too many, only the others are truncated.
+    /// Start commands, sent after the others. If there are too many commands, only the others are truncated.
     starts: Vec<AgentCommand>,
     expected_effects: Vec<(TaskId, u64, ExpectedEffect)>,
 }
@@ -50,6 +50,7 @@
         });
     }
 
+    /// Records the effect that a command should have by the next heartbeat.
     fn expect(&mut self, task: &TaskId, attempt: u64, effect: ExpectedEffect) {
         self.expected_effects.push((task.clone(), attempt, effect));
     }
@@ -71,7 +72,7 @@
     ) -> Vec<AgentCommand> {
         let newest = self.machines.get(machine).and_then(|m| m.newest_heartbeat);
         if newest == Some(position) {
-            self.task_to_move(machine, now);
+            self.start_move(machine, now);
         }
         let Some(m) = self.machines.get(machine) else {
             return Vec::new();
@@ -115,9 +116,9 @@
     /// Stops tasks that run on a machine without a placement there.
     fn stop_unexpected(&self, m: &Machine, response: &mut HeartbeatResponse) {
         // After a loss of stored state, the job may be valid although its record is not restored yet.
-        let may_be_known = self.is_rebuilding();
+        let records_may_be_missing = self.is_rebuilding();
         for (task, attempt) in m.unexpected_tasks.keys() {
-            if may_be_known && !self.jobs.contains_key(&task.job) {
+            if records_may_be_missing && !self.jobs.contains_key(&task.job) {
                 continue;
             }
             response.stop(task, *attempt, 0.0);
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -1,6 +1,6 @@
-//! Consolidation: moves the replicas of services that are scattered over half-empty machines together, one at a time,
-//! so that machines can be terminated. Offers concentrate load on machines with low ids only as tasks arrive; services
-//! stay on the machines where they were once placed.
+//! Consolidation: moves service replicas that are scattered over half-empty machines to fewer machines, one at a time,
+//! so that the emptied machines can be terminated. Offers concentrate load on machines with low ids only as tasks
+//! arrive; services stay on the machines where they were once placed.
 
 use super::events::SchedulerEvent;
 use super::job::{Job, StopReason};
@@ -16,14 +16,14 @@
 
 /// Time for which there must have been spare capacity before a machine is consolidated.
 const MIN_SPARE_PERIOD: Micros = Micros::secs(30);
-/// Maximum interval between two moves, used while there are few replicas: many of them must not be down within a short
-/// time.
+/// Maximum interval between two moves, used while there are few replicas. Prevents many of them from being down within
+/// a short time.
 const MAX_MOVE_INTERVAL: Micros = Micros::secs(30);
 /// A move takes a replica down for a second or two. With this many replicas, one may be moved every second.
 const REPLICAS_PER_MOVE_PER_SECOND: u64 = 1_000;
 /// Number of replicas for which one more machine may be consolidated at the same time.
 const REPLICAS_PER_CONSOLIDATION: usize = 20;
-/// Time within which a moved task is placed on its new machine.
+/// Time allowed for placing a moved task on its new machine, for which its reservation there is kept.
 const MOVE_TIMEOUT: Micros = Micros::secs(5);
 /// Maximum number of target machines examined in one plan.
 const MAX_TARGETS_EXAMINED: usize = 20_000;
@@ -276,10 +276,13 @@
             && zone_allows(job, &m.zone, 0, Some(from_zone))
     }
 
-    /// Returns the task to stop in the answer to a heartbeat of a machine that is being consolidated. A task is moved
-    /// only if a target machine is expected to send its next heartbeat just when the task's exit is known, which keeps
-    /// the replica's downtime as short as possible.
-    pub(super) fn task_to_move(&mut self, from: &MachineId, now: Micros) -> Option<TaskId> {
+    /// Starts to move the next task of a machine that is being consolidated, when the response to the machine's
+    /// heartbeat is built: marks the task to be stopped and reserves resources for it on a target machine. Returns the
+    /// task, or `None` if no task can be moved at this time.
+    ///
+    /// A task is moved only if a target machine is expected to send its next heartbeat just when the task's exit is
+    /// known, which keeps the replica's downtime as short as possible.
+    pub(super) fn start_move(&mut self, from: &MachineId, now: Micros) -> Option<TaskId> {
         let m = self.machines.get(from)?;
         if !m.consolidating
             || now.since(self.consolidation.moved_at) < self.consolidation.move_interval()
--- a/src/scheduler/events.rs
+++ b/src/scheduler/events.rs
@@ -62,7 +62,7 @@
         /// Cancelled job whose task is still on the machine.
         job: JobId,
     },
-    /// A machine was idle for the configured time and is terminated.
+    /// A machine was idle for its idle timeout and is terminated.
     MachineIdle {
         /// Machine that is terminated.
         machine: MachineId,
@@ -114,7 +114,7 @@
         /// Time until its next retry.
         pause: Micros,
     },
-    /// A task is stopped for a job of higher priority.
+    /// A task is stopped for a job of higher priority, or for a job within its team's guarantee.
     TaskPreempted {
         /// Task that is stopped.
         task: TaskId,
@@ -266,7 +266,8 @@
 }
 
 impl fmt::Display for SchedulerEvent {
-    /// A single exhaustive match, so that event names can be searched for and every event is rendered.
+    /// Renders the log line, in a single exhaustive match so that event names can be searched for and no event is left
+    /// without a line.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         use SchedulerEvent as E;
         match self {
--- a/src/scheduler/failure_detection/mod.rs
+++ b/src/scheduler/failure_detection/mod.rs
@@ -70,7 +70,7 @@
             heartbeat_interval: config.heartbeat_interval,
             heartbeat,
             two_reconnects: heartbeat + WORKER_RECONNECT_TIME.scaled(2, 1),
-            lease_expiry: config.agent_lease + heartbeat,
+            lease_expiry: config.worker_lease + heartbeat,
         }
     }
 }
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -91,7 +91,7 @@
         for job in machines.values() {
             *reserved_count.entry(job.clone()).or_default() += 1;
         }
-        let jobs = starved.len();
+        let starved_count = starved.len();
         let max_reserved = self.machines.len() / MACHINES_PER_RESERVATION + 1;
         let waiting = self.jobs_with_waiting_tasks().filter(|j| j.waiting() > 0);
         let min_need = waiting.map(|j| j.spec.need()).reduce(|a, b| a.min(&b));
@@ -100,7 +100,9 @@
                 continue;
             };
             // Bounds the cost with very many starved jobs: beyond the first ones, only a random sample searches.
-            if position >= SEARCHES_PER_CYCLE && self.rng.usize(..jobs) >= SEARCHES_PER_CYCLE {
+            if position >= SEARCHES_PER_CYCLE
+                && self.rng.usize(..starved_count) >= SEARCHES_PER_CYCLE
+            {
                 continue;
             }
             // A gang needs a machine per task, any other job one machine for its next task. Jobs with the smallest
--- a/src/scheduler/heartbeats.rs
+++ b/src/scheduler/heartbeats.rs
@@ -7,7 +7,7 @@
 use crate::ids::MachineId;
 use crate::units::Micros;
 
-/// What followed from a heartbeat.
+/// Result of handling a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct HeartbeatOutcome {
     /// Whether it is the newest heartbeat of its machine. An older one changes nothing and its response contains no
@@ -81,8 +81,9 @@
         if m.via != via {
             m.via = via.to_owned();
         }
-        // Delayed duplicates of heartbeats, and heartbeats of a machine that receives no responses, must not keep it
-        // alive: heartbeats count as contact for long only if they show that responses arrive.
+        // Delayed duplicates of heartbeats, and heartbeats of a machine that receives no responses, must not make the
+        // machine count as alive. Once several heartbeats in a row show no effect of the responses, further ones do not
+        // count as contact.
         if !m.is_inbound_unreachable() {
             m.last_contact = now;
         }
@@ -147,7 +148,7 @@
         via: &str,
         now: Micros,
     ) {
-        let lease = self.config.agent_lease;
+        let lease = self.config.worker_lease;
         let window = lease + self.config.heartbeat_interval.scaled(2, 1);
         let Some(m) = self.machines.get_mut(&heartbeat.machine) else {
             return;
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -23,7 +23,7 @@
 pub enum StopReason {
     /// A job that takes precedence needs its resources.
     Preempted,
-    /// Its machine is being drained.
+    /// Its machine is being emptied, or another task of its gang was lost and the gang must restart as a whole.
     Drained,
 }
 
@@ -142,7 +142,7 @@
     pub submitted_at: u64,
     /// How the job ended; `None` while it has not.
     pub end: Option<JobEnd>,
-    /// Whether the end of the job is recorded, or a write of it is in progress.
+    /// Whether the job has ended, or a write of its end is in progress.
     pub ending: bool,
     /// Chunks by number. A chunk is present only once one of its tasks has been placed or reported.
     pub chunks: BTreeMap<u32, Chunk>,
@@ -159,6 +159,7 @@
     /// Number of consecutive failures, which determines the backoff.
     pub consecutive_failures: u32,
     /// Whether the job itself counts as faulty, as its tasks failed on several machines with no success in between.
+    /// Set for arrays only.
     pub crash_looping: bool,
     /// Whether a spot machine was terminated while it ran tasks of the job that cannot save their work.
     pub lost_work_on_spot: bool,
--- a/src/scheduler/job_spec.rs
+++ b/src/scheduler/job_spec.rs
@@ -30,13 +30,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Written as `low`.
+    /// Lowest priority. Written as `low`.
     Low,
-    /// Written as `normal`.
+    /// Between `low` and `urgent`. Written as `normal`.
     Normal,
-    /// Written as `urgent`.
+    /// Between `normal` and `critical`. Written as `urgent`.
     Urgent,
-    /// Written as `critical`.
+    /// Queued before all other jobs and never preempted. Written as `critical`.
     Critical,
 }
 
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,8 +1,7 @@
-//! The scheduler's pure core: takes events with their time, and returns writes, agent commands and fleet plans.
+//! The scheduler's pure core: takes events with their time, and returns writes, commands to workers and fleet plans.
 //!
-//! It has no I/O, clock or source of randomness of its own. Agent commands depend on what the controller reports as
-//! written: the start of a task is sent only after its placement was written, and `clear` only after its completion
-//! was.
+//! It has no I/O, clock or source of randomness of its own. Commands depend on what the controller reports as written:
+//! the start of a task is sent only after its placement was written, and `clear` only after its completion was.
 
 mod candidates;
 mod commands;
@@ -72,10 +71,10 @@
     pub max_scale_out_per_cycle: usize,
     /// Number of controllers in the cluster.
     pub controllers: usize,
-    /// Interval at which agents send heartbeats.
+    /// Interval at which workers send heartbeats.
     pub heartbeat_interval: Micros,
-    /// Time for which agents keep running tasks without an answer from a controller.
-    pub agent_lease: Micros,
+    /// Time for which workers keep running tasks without a response from a controller.
+    pub worker_lease: Micros,
     /// Time within which a cancelled task must have stopped.
     pub cancellation_timeout: Micros,
     /// Maximum age of the cloud's machine list.
@@ -117,13 +116,14 @@
     last_event_at: Micros,
     /// Lower bound of attempt numbers given in this term.
     min_attempt: u64,
-    /// Wall-clock time, in microseconds, of the last fleet plan.
+    /// Unix time in microseconds, as of the last fleet plan.
     unix_time: u64,
     rng: fastrand::Rng,
     teams: BTreeMap<String, TeamQuota>,
     machine_types: BTreeMap<String, MachineType>,
     jobs: BTreeMap<JobId, Job>,
     machines: BTreeMap<MachineId, Machine>,
+    /// Resources of the tasks that may be on a machine, by team.
     team_used: BTreeMap<String, Resources>,
     /// Which jobs are within their team's guarantee, as of the last scheduling cycle.
     guarantees: quota::Guarantees,
@@ -138,13 +138,17 @@
     /// Chunks whose changes are deferred, to be written together with others of their job while few writes are
     /// possible.
     deferred: writes::DeferredChunks,
+    /// Jobs whose tasks have all finished and whose end has yet to be written.
     finished: BTreeSet<JobId>,
+    /// Jobs that have ended and have no tasks on machines, so that their records can be deleted.
     terminal: BTreeSet<JobId>,
     /// Machines whose cached images have yet to be written to the store.
     unwritten_images: BTreeSet<MachineId>,
     /// Recorded images of machines that have not yet sent a heartbeat to this leader.
     known_images: BTreeMap<MachineId, Vec<CachedImage>>,
+    /// Machines recently terminated, whose delayed heartbeats must be ignored.
     terminated: HashSet<MachineId>,
+    /// The machines in `terminated`, oldest first. The oldest are removed to bound their number.
     terminated_order: VecDeque<MachineId>,
     provisioning_times: provisioning_times::ProvisioningTimes,
     fleet: fleet::Fleet,
@@ -296,8 +300,8 @@
         self.check_terminal(id);
     }
 
-    /// Handles a commit which found that the job has already ended: no task of it may be started, although its outcome
-    /// is not known yet.
+    /// Handles a commit which found that the job has already ended: none of its tasks may be started, although the
+    /// job's outcome is not known yet.
     pub fn on_job_already_ended(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.ending = true;
@@ -441,9 +445,9 @@
                 chunk.changed_at = self.last_event_at;
             }
             chunk.dirty = true;
-            let place = writes::QueuedChunk::new(job.spec.priority, id, number);
-            self.deferred.remove(&place);
-            self.dirty.insert(place);
+            let queued = writes::QueuedChunk::new(job.spec.priority, id, number);
+            self.deferred.remove(&queued);
+            self.dirty.insert(queued);
         }
     }
 
@@ -455,6 +459,7 @@
         }
     }
 
+    /// Records that a machine has, or is about to fetch, the image of a job.
     pub(super) fn record_image(&mut self, machine: &MachineId, spec: &JobSpec) {
         if let Some(m) = self.machines.get_mut(machine) {
             let cache_gb = self
@@ -465,6 +470,7 @@
         }
     }
 
+    /// Queues a job for the deletion of its records if it has ended and none of its tasks can be on a machine.
     fn check_terminal(&mut self, id: &JobId) {
         if self
             .jobs
--- a/src/scheduler/offers.rs
+++ b/src/scheduler/offers.rs
@@ -15,8 +15,8 @@
 /// Maximum number of tasks of one job placed in one scheduling cycle, unless the fleet has more machines than this:
 /// then one task per machine. Prevents a huge job from using up the whole cycle.
 const MAX_PLACEMENTS_PER_JOB: usize = 512;
-/// Offers that each job can expect in a scheduling cycle. Where more jobs wait than the cycle's maximum of offers
-/// allows, jobs are offered less often.
+/// Number of offers planned for each job in a scheduling cycle. Where more jobs wait than the cycle's maximum of offers
+/// allows for, jobs are offered less often.
 const OFFERS_PER_JOB: usize = 16;
 /// Minimum number of machines in a sample.
 const MIN_SAMPLE_SIZE: usize = 8;
@@ -121,11 +121,11 @@
         // accelerators are already in use.
         if spec.accelerators == 0.0 {
             let accelerators_in_use = true;
-            let headroom = OfferPass {
+            let with_accelerators_in_use = OfferPass {
                 accelerators_in_use,
                 ..any
             };
-            self.offer(id, machines, order, headroom, now);
+            self.offer(id, machines, order, with_accelerators_in_use, now);
         }
         // Tasks that may use spot machines go to on-demand machines only if no spot machine has enough free resources:
         // spot machines are far cheaper.
@@ -231,7 +231,7 @@
         headroom
     }
 
-    /// Sets the time at which a job with waiting tasks is offered again.
+    /// Sets the time at which a job with waiting tasks is offered again. A crash-looping job waits for its backoff.
     ///
     /// Where more jobs wait than can be offered in one retry interval, jobs below critical priority wait for as many
     /// intervals as it takes to offer all of them. Without this, the offers of a backlog of thousands of jobs would use
@@ -341,7 +341,8 @@
         by_zone.into_values().collect()
     }
 
-    /// Returns whether fetching the job's image would delay a task's start beyond the maximum start delay of its class.
+    /// Returns whether fetching the job's image would delay a task's start beyond the maximum start delay of its class,
+    /// even on the machine type with the fastest fetch.
     fn fetch_is_too_slow(&self, id: &JobId) -> bool {
         let Some(spec) = spec_of(&self.jobs, id) else {
             return false;
@@ -376,7 +377,7 @@
         });
     }
 
-    /// Returns the jobs that are due to be offered.
+    /// Takes the jobs that are due to be offered from the job index.
     fn due_jobs(&mut self, now: Micros) -> BTreeSet<JobId> {
         let (due, steps) = self.job_index.take_due(&self.jobs, now);
         self.count_steps(steps);
@@ -504,6 +505,8 @@
             && zone_allows(job, &m.zone, 0, None)
     }
 
+    /// Places a waiting task on a machine, and drops one of the job's pending reservations: the one on this machine if
+    /// there is one.
     fn place(&mut self, id: &JobId, index: u32, machine: &MachineId, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -38,7 +38,7 @@
 
 impl Scheduler {
     /// Returns the resources about to be free, by machine: those of tasks being stopped there, minus pending
-    /// reservations.
+    /// reservations. Drops expired reservations.
     pub(super) fn pending_free_resources(&mut self, now: Micros) -> BTreeMap<MachineId, Resources> {
         let mut pending_free: BTreeMap<MachineId, Resources> = BTreeMap::new();
         for task in self.job_index.stopping() {
@@ -74,17 +74,18 @@
     ) {
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
-        let open = (job.schedulable_tasks() as usize).saturating_sub(job.reservations.len());
+        let unreserved_tasks =
+            (job.schedulable_tasks() as usize).saturating_sub(job.reservations.len());
         if !self.config.max_start_delay.contains_key(&spec.class) && !self.is_entitled(id) {
             return;
         }
         let mut planned = spec.need().times(job.reservations.len());
-        if open > 0 && pass.preemptible.is_none() {
+        if unreserved_tasks > 0 && pass.preemptible.is_none() {
             pass.preemptible = Some(self.preemptible(&pass.pending_free));
         }
         let max_preemptions =
             MAX_PREEMPTIONS_PER_CYCLE.max(self.machines.len() / MACHINES_PER_PREEMPTION);
-        for _ in 0..open.min(max_preemptions) {
+        for _ in 0..unreserved_tasks.min(max_preemptions) {
             planned += spec.need();
             if !self.within_limit(&spec.team, &planned) {
                 return;
@@ -106,8 +107,8 @@
                 .map(|s| Micros::from_secs_f64(s.save_grace_s()))
                 .max()
                 .unwrap_or_default();
-            // The stop is sent in the answer to the machine's next heartbeat, the exit is reported within a second
-            // after the task has saved its state, and the next scheduling cycle then uses the reservation.
+            // The stop is sent in the response to the machine's next heartbeat, the exit is reported within a second
+            // after the task has saved its work, and the next scheduling cycle then uses the reservation.
             let until =
                 now + self.config.heartbeat_interval.scaled(5, 4) + save_time + Micros::secs(2);
             for task in victims {
@@ -219,8 +220,8 @@
             && self.jobs.get(id).is_some_and(|j| self.guarantees.covers(j))
     }
 
-    /// Returns the work lost by stopping a task, or `None` if it must not be stopped for this job. If stopping it only
-    /// avoids an image fetch for the other job, it must not make the task's job miss its deadline.
+    /// Returns the work lost by stopping a task, or `None` if it must not be stopped for the job `preemptor`. A stop
+    /// that only avoids an image fetch for that job must not make the stopped task's job miss its deadline.
     fn loss_of_stopping(
         &self,
         task: &TaskId,
@@ -274,8 +275,9 @@
         Some(lost_work + deadline_loss)
     }
 
-    /// Returns what the delay of a stopped task adds to its loss: its whole expected run time if the restart would make
-    /// its job miss its deadline, or exceed 1.5 times the time allowed, which it would otherwise meet; else zero.
+    /// Returns what the delay by a restart adds to the loss of a stopped task. This is the task's whole expected run
+    /// time if the delay would make its job miss its deadline, or exceed 1.5 times its allowed time, either of which it
+    /// would otherwise meet; zero if not.
     fn deadline_loss(&self, job: &Job, run_time: Micros) -> Micros {
         let Some(due_s) = job.spec.due_s else {
             return Micros::ZERO;
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -86,6 +86,7 @@
 pub(super) struct Guarantees {
     /// Each team's jobs in order of submission.
     by_age: BTreeMap<String, BTreeSet<(u64, JobId)>>,
+    /// Each team's jobs within its guarantee, as of the last refresh.
     within: BTreeMap<String, HashSet<JobId>>,
     /// Teams to recompute.
     stale: BTreeSet<String>,
--- a/src/scheduler/rebuild.rs
+++ b/src/scheduler/rebuild.rs
@@ -37,7 +37,7 @@
         self.min_attempt = losses * ATTEMPTS_PER_LOSS;
     }
 
-    /// Returns whether offers wait for machines that may run tasks without a record.
+    /// Returns whether a rebuild is in progress: offers wait for machines that may run tasks without a record.
     pub fn is_rebuilding(&self) -> bool {
         self.rebuild.is_some()
     }
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -205,7 +205,8 @@
                 }
                 UnrecordedVerdict::Ended => exited.push((task, t.attempt)),
                 UnrecordedVerdict::Adopted => {
-                    // A recorded attempt can only be lower, and was off its machine before this one was assigned.
+                    // Any placement recorded for the task has a lower attempt, which had left its machine before this
+                    // attempt was assigned.
                     self.release(&task.job, task.index);
                     self.adopt(&task, heartbeat, t, now);
                     changed = true;
@@ -256,6 +257,7 @@
         }
     }
 
+    /// Records a reported task as placed on the machine that reports it.
     fn adopt(&mut self, task: &TaskId, heartbeat: &Heartbeat, t: &TaskStatus, now: Micros) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
--- a/src/scheduler/reserve.rs
+++ b/src/scheduler/reserve.rs
@@ -20,7 +20,7 @@
 /// The reserve for classes with a maximum start delay is at most the number of their running tasks divided by this, or
 /// `MIN_RESERVE_LIMIT` where that is more.
 const RESERVE_DIVISOR: u32 = 8;
-/// Number of places that the reserve may always have, however few tasks run.
+/// Number of places that the reserve for classes with a maximum start delay may always have, however few tasks run.
 const MIN_RESERVE_LIMIT: u64 = 2;
 
 /// Places to keep free, or occupied only by tasks that may be preempted.
@@ -86,9 +86,9 @@
             return false;
         };
         let slack = |due: f64| Micros::from_secs_f64(due - spec.expected_run_s);
-        let starts_in_time = self.config.max_start_delay.get(&spec.class).copied();
-        let ends_in_time = spec.due_s.map(slack);
-        let min_slack = starts_in_time.into_iter().chain(ends_in_time).min();
+        let start_slack = self.config.max_start_delay.get(&spec.class).copied();
+        let deadline_slack = spec.due_s.map(slack);
+        let min_slack = start_slack.into_iter().chain(deadline_slack).min();
         spec.shape == Shape::Array
             && min_slack.is_some_and(|min_slack| min_slack < provisioning_time)
     }
@@ -113,7 +113,8 @@
         self.demand.sample(cores, now);
     }
 
-    /// Returns the places by which running latency-sensitive work falls short of its typical demand.
+    /// Returns the places by which running latency-sensitive work falls short of its typical demand, or `None` if there
+    /// is no such work.
     fn latency_sensitive_reserve(&self) -> Option<Reserve> {
         let is_counted = |j: &&Job| !j.ending && self.is_latency_sensitive(&j.spec);
         let jobs = || self.jobs.values().filter(is_counted);
--- a/src/scheduler/scenarios/failure_detection.rs
+++ b/src/scheduler/scenarios/failure_detection.rs
@@ -549,6 +549,6 @@
             given_up.get_or_insert(second);
         }
     }
-    let lease = config().agent_lease.0 / 1_000_000;
+    let lease = config().worker_lease.0 / 1_000_000;
     assert!(given_up.is_some_and(|s| s > lease), "{given_up:?}");
 }
--- a/src/scheduler/scenarios/mod.rs
+++ b/src/scheduler/scenarios/mod.rs
@@ -144,7 +144,7 @@
         recovery_report: true,
         controllers: 3,
         heartbeat_interval: Micros::secs(3),
-        agent_lease: Micros::secs(36),
+        worker_lease: Micros::secs(36),
         cancellation_timeout: Micros::secs(60),
         list_lag: Micros::secs(6),
         max_start_delay: BTreeMap::from([("live".into(), Micros::secs(12))]),
--- a/src/scheduler/writes.rs
+++ b/src/scheduler/writes.rs
@@ -252,22 +252,22 @@
     /// Returns the time at which a chunk changed if its write may be deferred: its job continues, it has no new
     /// placements, and the change is recent.
     ///
-    /// Without deferral, the separate completions of many short tasks would use up the write rate that starts wait for.
-    /// Completions that are not written yet remain in the workers' heartbeats, as they are cleared only after the
-    /// write.
+    /// Without deferral, separate writes for the completions of many short tasks would use up the write rate that the
+    /// starts of other tasks need. Completions that are not written yet remain in the workers' heartbeats, as they are
+    /// cleared only after the write.
     fn deferrable_since(&self, id: &JobId, number: u32) -> Option<Micros> {
         let job = self.jobs.get(id)?;
         let chunk = job.chunks.get(&number)?;
-        let waits = !job.ending
+        let is_deferrable = !job.ending
             && job.done < job.spec.tasks
             && chunk.live.values().all(|p| p.committed)
             && self.last_event_at.since(chunk.changed_at) < MAX_FINISH_DELAY;
-        waits.then_some(chunk.changed_at)
+        is_deferrable.then_some(chunk.changed_at)
     }
 
-    /// Returns the write that ends a job with a single chunk if all its tasks have finished, and deletes its other
-    /// records. This takes three operations rather than five, which matters as users may submit thousands of jobs with
-    /// one task.
+    /// Returns the write that ends a job with a single chunk and deletes its other records, or `None` if the job has
+    /// more chunks or unfinished tasks. This takes three operations rather than five, which matters as users may submit
+    /// thousands of jobs with one task.
     fn completion_in_one_write(&mut self, id: &JobId) -> Option<Write> {
         let job = self.jobs.get_mut(id)?;
         let finished = job.done == job.spec.tasks && job.live == 0;
@@ -285,7 +285,7 @@
         })
     }
 
-    /// Adds writes of the images on machines. They have the lowest urgency, so each batch contains only a few.
+    /// Adds writes of the images on machines. They are not urgent, so each batch contains only a few.
     fn add_images(&mut self, batch: &mut Vec<Write>, remaining_ops: &mut usize) {
         let mut remaining_images = IMAGES_PER_BATCH.min(*remaining_ops);
         while remaining_images > 0 {
@@ -444,7 +444,7 @@
         self.update_waiting(id);
     }
 
-    /// Queues the changes of a batch again that is known not to have been applied.
+    /// Queues the changes of a batch again after it is known that the batch was not applied.
     pub fn batch_not_applied(&mut self, batch: &[Write]) {
         for write in batch {
             match write {
