--- a/src/scheduler/scenarios/failure_detection.rs
+++ b/src/scheduler/scenarios/failure_detection.rs
@@ -613,7 +613,7 @@
             terminated_after.get_or_insert(second);
         }
     }
-    let lease = config().agent_lease.0 / 1_000_000;
+    let lease = config().worker_lease.0 / 1_000_000;
     assert!(
         terminated_after.is_some_and(|s| s > lease),
         "{terminated_after:?}"
