--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -53,7 +53,7 @@
     let mut checker = checker_with_job(json!({}));
     checker.record_start(20, "j-1", 0, "m-1", &pool("g8", "z0", true));
     checker.record_start(21, "j-1", 0, "m-2", &pool("g8", "z0", true));
-    assert_eq!(violated_rules(&checker), ["duplicate_run"]);
+    assert_eq!(violated_rules(&checker), ["ran_twice"]);
 }
 
 #[test]
@@ -83,7 +83,7 @@
             assert_eq!(violated_rules(&checker), Vec::<&str>::new());
         }
         checker.record_start(21, "j-1", 1, "m-2", &pool("g8", "z0", true));
-        assert!(violated_rules(&checker).contains(&"placement"), "{n}");
+        assert!(violated_rules(&checker).contains(&"wrong_place"), "{n}");
     }
 }
 
@@ -100,13 +100,10 @@
         "the deadline has not passed"
     );
     checker.check_deadlines(1_000_041);
-    assert_eq!(violated_rules(&checker), ["ran_after_cancel"]);
+    assert_eq!(violated_rules(&checker), ["ran_cancelled"]);
     checker.record_end(1_000_050, "j-1", 0, "m-1", false);
     checker.record_start(1_000_060, "j-1", 1, "m-1", &pool("g8", "z0", true));
-    assert_eq!(
-        violated_rules(&checker),
-        ["ran_after_cancel", "ran_after_cancel"]
-    );
+    assert_eq!(violated_rules(&checker), ["ran_cancelled", "ran_cancelled"]);
     assert_eq!(checker.starts_after_cancel, 1);
 }
 
@@ -124,7 +121,7 @@
     checker.record_response(32, 20, "poll", "j-9", 200, "pending");
     assert_eq!(
         violated_rules(&checker),
-        ["job_lost", "job_lost", "unknown_job"]
+        ["forgotten", "forgotten", "invented"]
     );
 }
 
@@ -135,19 +132,16 @@
     checker.record_response(29, 25, "poll", "j-1", 200, "running");
     assert_eq!(
         violated_rules(&checker),
-        ["done_too_early"],
+        ["not_done"],
         "the request preceded the first final state"
     );
     checker.record_response(50, 40, "poll", "j-1", 200, "running");
-    assert_eq!(
-        violated_rules(&checker),
-        ["done_too_early", "state_reverted"]
-    );
+    assert_eq!(violated_rules(&checker), ["not_done", "went_back"]);
     let mut checker = checker_with_job(json!({}));
     checker.record_response(30, 20, "poll", "j-1", 200, "aborted");
     assert_eq!(
         violated_rules(&checker),
-        ["state_reverted"],
+        ["went_back"],
         "no user cancelled it"
     );
 }
--- a/tests/support/invariants.rs
+++ b/tests/support/invariants.rs
@@ -32,7 +32,10 @@
 /// A task: the job's name and the task's index.
 type TaskKey = (String, u32);
 
-/// Records what users, workers and machines observe and the invariants that this violates.
+/// Records what happens to users, workers and machines, and which invariants this violates.
+///
+/// The rule names are those of the published specification: `ran_twice`, `quota`, `wrong_place`, `ran_cancelled`,
+/// `forgotten`, `invented`, `not_done` and `went_back`, and `nothing_ran` for a scenario in which no task started.
 #[derive(Debug, Default)]
 pub struct InvariantChecker {
     /// Time in microseconds within which tasks of a cancelled job must stop.
@@ -45,7 +48,7 @@
     running_on: BTreeMap<TaskKey, (String, Pool)>,
     /// Jobs whose cancellation a response has confirmed.
     cancelled: BTreeSet<String>,
-    /// Violated invariants: the rule's name, the time and the details.
+    /// Violated invariants, each as the rule's name, the time in seconds and the details, without duplicates.
     pub violations: Vec<String>,
     /// All recorded events in order.
     pub event_log: Vec<String>,
@@ -104,17 +107,17 @@
         self.log_event(now, format!("{request} {id}: {status} {state}"));
         let Some(job) = self.jobs.get_mut(id) else {
             if status == 200 || status == 201 {
-                self.record_violation(now, "unknown_job", id.to_owned());
+                self.record_violation(now, "invented", id.to_owned());
             }
             return;
         };
         let was_accepted = job.accepted_at.is_some_and(|at| at <= since);
         if status == 404 && request != "submit" && was_accepted {
-            self.record_violation(now, "job_lost", format!("{request} {id}: 404"));
+            self.record_violation(now, "forgotten", format!("{request} {id}: 404"));
             return;
         }
         if (status == 400 || status == 422) && request == "submit" && was_accepted {
-            self.record_violation(now, "job_lost", format!("submit {id}: {status}"));
+            self.record_violation(now, "forgotten", format!("submit {id}: {status}"));
             return;
         }
         if status != 200 && status != 201 {
@@ -126,7 +129,7 @@
         let known = job.final_state.clone();
         match (&known, state) {
             (Some((end, at)), state) if end != state && *at <= since => {
-                self.record_violation(now, "state_reverted", format!("{id}: {end}, then {state}"));
+                self.record_violation(now, "went_back", format!("{id}: {end}, then {state}"));
             }
             (None, "done" | "aborted") => {
                 job.final_state = Some((state.to_owned(), now));
@@ -134,18 +137,10 @@
                     self.cancelled.insert(id.to_owned());
                 }
                 if state == "done" && completed < tasks {
-                    self.record_violation(
-                        now,
-                        "done_too_early",
-                        format!("{id}: {completed} of {tasks}"),
-                    );
+                    self.record_violation(now, "not_done", format!("{id}: {completed} of {tasks}"));
                 }
                 if state == "aborted" && !cancel_requested {
-                    self.record_violation(
-                        now,
-                        "state_reverted",
-                        format!("{id}: no user cancelled it"),
-                    );
+                    self.record_violation(now, "went_back", format!("{id}: no user cancelled it"));
                 }
             }
             _ => {}
@@ -161,10 +156,10 @@
             && other != machine
         {
             let details = format!("{id}/{index} on {other} and {machine}");
-            self.record_violation(now, "duplicate_run", details);
+            self.record_violation(now, "ran_twice", details);
         }
         let Some(job) = self.jobs.get(id).cloned() else {
-            self.record_violation(now, "unknown_job", format!("{id} started"));
+            self.record_violation(now, "invented", format!("{id} started"));
             return;
         };
         if let Some((end, at)) = &job.final_state
@@ -172,7 +167,7 @@
         {
             self.starts_after_cancel += 1;
             if now > at + self.cancel_deadline {
-                self.record_violation(now, "ran_after_cancel", format!("{id}/{index} started"));
+                self.record_violation(now, "ran_cancelled", format!("{id}/{index} started"));
             }
         }
         self.running_on
@@ -199,7 +194,7 @@
             && (spec["together"] != true || here == zones.len())
             && (spec["spread"] != true || here <= tasks.div_ceil(2));
         if !allowed_here {
-            self.record_violation(now, "placement", format!("{id} on {machine}"));
+            self.record_violation(now, "wrong_place", format!("{id} on {machine}"));
         }
     }
 
@@ -258,7 +253,7 @@
             .map(|((id, index), (machine, _))| format!("{id}/{index} on {machine}"))
             .collect();
         for details in late {
-            self.record_violation(now, "ran_after_cancel", details);
+            self.record_violation(now, "ran_cancelled", details);
         }
     }
 
--- a/tests/support/world/mod.rs
+++ b/tests/support/world/mod.rs
@@ -601,7 +601,7 @@
         }
         self.run(self.deployment.cancel_s + 5.0);
         self.assert_invariants();
-        assert!(self.invariants.borrow().starts > 0, "no task started");
+        assert!(self.invariants.borrow().starts > 0, "nothing_ran");
     }
 
     /// Asserts that no invariant has been violated.
