--- a/crates/index/src/by_kind.rs
+++ b/crates/index/src/by_kind.rs
@@ -2,11 +2,12 @@
 
 use crate::FirstFit;
 
-/// A first-fit index over slots that belong to one or more of `K` kinds, with a separate [`FirstFit`] tree for each kind.
-/// A tree is built when its kind is first searched.
+/// A first-fit index over slots that belong to one or more of `K` kinds, with a separate [`FirstFit`] tree for each
+/// kind. A tree is built when its kind is first searched.
 ///
-/// A single tree that stores the kind as a further amount would be slow: where full slots of the kind are mixed with free
-/// slots of another kind, every range appears to contain a free slot of the kind, and a search would visit all slots.
+/// A single tree that stores the kind as a further amount would be slow: where full slots of the kind are mixed with
+/// free slots of another kind, every range appears to contain a free slot of the kind, and a search would visit all
+/// slots.
 #[derive(Debug, Clone)]
 pub struct FirstFitByKind<const N: usize, const K: usize> {
     slots: usize,
--- a/crates/index/src/cursor_log.rs
+++ b/crates/index/src/cursor_log.rs
@@ -33,8 +33,8 @@
         Cursor(self.dropped + self.entries.len() as u64)
     }
 
-    /// Returns at most `limit` entries starting at a position, and the position after them. Entries that were dropped in
-    /// the meantime are skipped.
+    /// Returns at most `limit` entries starting at a position, and the position after them. Entries that were dropped
+    /// in the meantime are skipped.
     pub fn read(&self, from: Cursor, limit: usize) -> (impl Iterator<Item = &T>, Cursor) {
         let first = from.0.max(self.dropped);
         let skip = usize::try_from(first - self.dropped).unwrap_or(usize::MAX);
--- a/crates/index/src/expiring_map.rs
+++ b/crates/index/src/expiring_map.rs
@@ -7,8 +7,8 @@
 /// A hash map with one time to live for all entries.
 ///
 /// Expired entries are never returned. They are removed by a sweep that runs at most once per lifetime, so that an
-/// operation takes amortized constant time regardless of the number of entries. The map holds at most the entries written
-/// within two lifetimes.
+/// operation takes amortized constant time regardless of the number of entries. The map holds at most the entries
+/// written within two lifetimes.
 #[derive(Debug, Clone)]
 pub struct ExpiringMap<K, V> {
     lifetime: u64,
--- a/crates/index/src/first_fit.rs
+++ b/crates/index/src/first_fit.rs
@@ -4,9 +4,9 @@
 
 /// A segment tree over slots with `N` amounts each.
 ///
-/// Every inner node stores the maximum of each amount in its subtree, so that a search skips ranges in which no slot has
-/// enough of some amount. An update takes `O(log n)`. A search visits `O(log n)` nodes where the amounts of a slot are
-/// correlated, and all nodes in the worst case.
+/// Every inner node stores the maximum of each amount in its subtree, so that a search skips ranges in which no slot
+/// has enough of some amount. An update takes `O(log n)`. A search visits `O(log n)` nodes where the amounts of a slot
+/// are correlated, and all nodes in the worst case.
 #[derive(Debug, Clone)]
 pub struct FirstFit<const N: usize> {
     slots: usize,
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Returns the first slot with enough of each amount in the subtree of a node whose maxima satisfy `need`. There may be
-    /// none, as the maxima can come from different slots.
+    /// Returns the first slot with enough of each amount in the subtree of a node whose maxima satisfy `need`. There
+    /// may be none, as the maxima can come from different slots.
     fn first_in_subtree(&self, node: usize, need: &[i64; N]) -> Option<usize> {
         if node >= self.leaves {
             let slot = node - self.leaves;
--- a/crates/index/src/lib.rs
+++ b/crates/index/src/lib.rs
@@ -1,7 +1,7 @@
 //! Data structures that keep the cost per operation nearly independent of the number of machines.
 //!
-//! They read no clock and do no I/O; callers pass times in. The controller uses them where a loop over all machines, jobs
-//! or cancellations for every heartbeat or offer would make the total work quadratic.
+//! They read no clock and do no I/O; callers pass times in. The controller uses them where a loop over all machines,
+//! jobs or cancellations for every heartbeat or offer would make the total work quadratic.
 
 #![warn(missing_docs)]
 
--- a/crates/load/src/controller.rs
+++ b/crates/load/src/controller.rs
@@ -25,7 +25,7 @@
 }
 
 impl Controller {
-    /// Starts a controller that uses the state service and cloud at `addresses`.
+    /// Starts a controller that uses the key-value store and cloud at `addresses`.
     ///
     /// `sockets` is its limit of open sockets. `enable_rebuild` turns on rebuilding after a loss of state.
     pub fn start(
@@ -89,8 +89,7 @@
     }
 }
 
-/// Returns a loopback address with a free port. Clients connect from other loopback addresses, so that their ephemeral
-/// ports can't take this one.
+/// Returns a loopback address with a port that is free at the moment. Clients connect from other loopback addresses.
 fn free_address() -> io::Result<SocketAddr> {
     TcpListener::bind("127.0.7.1:0")?.local_addr()
 }
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,7 +1,7 @@
 //! Load generator: runs a real controller on loopback with thousands of simulated workers and measures it.
 //!
-//! The state service, the cloud and the workers are simulated on the same machine. The results are suitable for comparing
-//! versions, but not for predicting how many machines a deployment can manage.
+//! The key-value store, the cloud and the workers are simulated on the same machine. The results are suitable for
+//! comparing versions, but not for predicting how many machines a deployment can manage.
 
 mod controller;
 mod measure;
@@ -39,8 +39,8 @@
     /// Number of additional low-priority arrays of 64 tasks, which stay queued as all resources are in use.
     #[arg(long, default_value_t = 0)]
     backlog: usize,
-    /// Makes the state service lose all state after the measurement, and measures how long the rebuild takes. Can't be
-    /// combined with --before, as earlier versions may not support it.
+    /// Makes the key-value store lose all state after the measurement, and measures how long the rebuild takes. Can't
+    /// be combined with --before, as earlier versions may not support it.
     #[arg(long, conflicts_with = "before")]
     lose_state: bool,
     /// Limit of open sockets in the controller's configuration.
--- a/crates/load/src/measure.rs
+++ b/crates/load/src/measure.rs
@@ -9,9 +9,9 @@
 pub struct Recorder {
     /// Microseconds from sending a heartbeat to receiving its response.
     response_times: Histogram<u64>,
-    /// Number of requests to the state service.
+    /// Number of requests to the key-value store.
     pub state_requests: u64,
-    /// Number of puts and deletes in transactions sent to the state service.
+    /// Number of puts and deletes in transactions sent to the key-value store.
     pub state_changes: u64,
 }
 
@@ -47,7 +47,7 @@
     pub processor: f64,
     /// Peak resident memory in MiB since the start of the process.
     pub memory_mb: f64,
-    /// Requests to the state service per second.
+    /// Requests to the key-value store per second.
     pub state_requests_per_s: f64,
     /// Puts and deletes per second.
     pub state_changes_per_s: f64,
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -30,7 +30,7 @@
         value: |m| m.memory_mb,
     },
     Metric {
-        title: "Requests to the state service per second",
+        title: "Requests to the key-value store per second",
         value: |m| m.state_requests_per_s,
     },
 ];
@@ -42,7 +42,7 @@
 pub fn write(path: &Path, measurements: &[Measurement]) -> io::Result<()> {
     let mut html = String::from(
         "<!doctype html><html><head><meta charset=\"utf-8\"><title>ravenhead under load</title></head><body>\n\
-         <h1>ravenhead under load</h1>\n<p>One controller on loopback with a simulated state service, cloud and \
+         <h1>ravenhead under load</h1>\n<p>One controller on loopback with a simulated key-value store, cloud and \
          workers on the same machine; red: before, blue: now.</p>\n",
     );
     for metric in &METRICS {
@@ -74,10 +74,10 @@
             .map_err(to_message)?;
         let mut mesh = chart.configure_mesh();
         mesh.x_desc("workers").draw().map_err(to_message)?;
-        for (version, colour) in VERSIONS {
+        for (version, color) in VERSIONS {
             let points = measurements.iter().filter(|m| m.version == version);
             let points = points.map(|m| (m.workers, (metric.value)(m)));
-            let line = LineSeries::new(points, colour.stroke_width(2));
+            let line = LineSeries::new(points, color.stroke_width(2));
             chart.draw_series(line).map_err(to_message)?;
         }
         area.present().map_err(to_message)?;
--- a/crates/load/src/site.rs
+++ b/crates/load/src/site.rs
@@ -1,4 +1,4 @@
-//! A simulated site on loopback: state service, cloud, workers, and users that submit jobs.
+//! A simulated site on loopback: key-value store, cloud, workers, and users that submit jobs.
 
 use crate::controller::Usage;
 use crate::measure::{Measurement, Recorder};
@@ -34,7 +34,7 @@
 
 /// Listening addresses of the simulated external services.
 pub struct ServiceAddresses {
-    /// Address of the state service.
+    /// Address of the key-value store.
     pub state: SocketAddr,
     /// Address of the cloud API.
     pub cloud: SocketAddr,
@@ -44,7 +44,7 @@
 pub struct RebuildResult {
     /// Number of keys that were lost.
     keys: usize,
-    /// Number of requests to the state service until the rebuild was confirmed or timed out.
+    /// Number of requests to the key-value store until the rebuild was confirmed or timed out.
     requests: u64,
     /// Time from the loss until the records were restored, or `None` if that timed out.
     restored: Option<Duration>,
@@ -88,7 +88,7 @@
         }))
     }
 
-    /// Starts to serve the state service and the cloud API.
+    /// Starts to serve the key-value store and the cloud API.
     pub async fn listen(
         &self,
         executor: &Rc<LocalExecutor<'static>>,
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Submits services that use half of the accelerators, then the backlog, and then continuously as many arrays as the
-    /// other half can run.
+    /// Submits services that use half of the accelerators, then the backlog, and then continuously as many arrays as
+    /// the other half can run.
     pub async fn submit_work(
         &self,
         executor: &LocalExecutor<'static>,
@@ -167,7 +167,8 @@
         self.0.recorder.replace(Recorder::new());
     }
 
-    /// Makes the state service lose all state, and returns when the rebuild is confirmed or after [`REBUILD_TIMEOUT`].
+    /// Makes the key-value store lose all state, and returns when the rebuild is confirmed or after
+    /// [`REBUILD_TIMEOUT`].
     pub async fn lose_state(&self) -> RebuildResult {
         let keys = self.0.keys.borrow().entries.len();
         self.0.keys.borrow_mut().lose_all();
@@ -246,7 +247,7 @@
                 let key = request.path.trim_start_matches("/keys/");
                 site.keys.borrow().get(key)
             }
-            _ => HttpResponse::error(400, "unknown path"),
+            _ => HttpResponse::error(400, "odd"),
         }
     }
 
--- a/crates/load/src/worker.rs
+++ b/crates/load/src/worker.rs
@@ -91,8 +91,8 @@
     }
 }
 
-/// Sends heartbeats until the returned future is dropped. Calls `on_response` with the response time of each heartbeat that
-/// was answered.
+/// Sends heartbeats until the returned future is dropped. Calls `on_response` with the response time of each heartbeat
+/// that was answered.
 pub async fn run(mut worker: Worker, controller: SocketAddr, on_response: impl Fn(Duration)) {
     // A random delay prevents all workers from sending heartbeats at the same time.
     sleep(fastrand::f64() * HEARTBEAT_INTERVAL_S).await;
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,9 +1,10 @@
-//! Reconciliation of recorded and reported tasks, recovery of a new leader, and rebuilding after a loss of stored state.
+//! Reconciliation of recorded and reported tasks, recovery of a new leader, and rebuilding after a loss of stored
+//! state.
 //!
-//! Pure logic without I/O or a clock: it takes what the state service has recorded and what workers report, and returns a
-//! verdict for each task. The leader's scheduler calls it for every heartbeat, so that the same reconciliation runs in
-//! normal operation, after a change of leader and after a failure of all controllers. `docs/recovery.md` explains the
-//! design.
+//! Pure logic without I/O or a clock: it takes what the key-value store has recorded and what workers report, and
+//! returns a verdict for each task. The leader's scheduler calls it for every heartbeat, so that the same
+//! reconciliation runs in normal operation, after a change of leader and after a failure of all controllers.
+//! `docs/recovery.md` explains the design.
 
 #![warn(missing_docs)]
 
--- a/crates/recovery/src/loss.rs
+++ b/crates/recovery/src/loss.rs
@@ -1,8 +1,8 @@
-//! Detection of lost state in the state service, as distinct from an outage, a stale view and a first start.
+//! Detection of lost state in the key-value store, as distinct from an outage, a stale view and a first start.
 //!
-//! The state service is linearizable: a request sent after a response was received can't be answered as of an earlier
-//! revision, and a key that a watch reported as written exists until a watch reports its removal. Any violation means that
-//! state was lost. Missing responses, refused requests and slow responses are no evidence of a loss.
+//! The key-value store is linearizable: a request sent after a response was received can't be answered as of an earlier
+//! revision, and a key that a watch reported as written exists until a watch reports its removal. Any violation means
+//! that state was lost. Missing responses, refused requests and slow responses are not evidence of a loss.
 
 use std::fmt;
 
@@ -29,14 +29,14 @@
         key: String,
         /// Revision of its last change, as reported by a watch.
         version: u64,
-        /// Version found in the state service.
+        /// Version found in the key-value store.
         found: u64,
     },
     /// A key has a version that no watch reported, although watches have reported all changes up to a later revision.
     RecordUnseen {
         /// The key with the unreported version.
         key: String,
-        /// Version found in the state service.
+        /// Version found in the key-value store.
         version: u64,
     },
     /// Another controller announced that it has evidence of a loss.
@@ -44,7 +44,7 @@
         /// Node name of that controller.
         by: String,
     },
-    /// A worker or controller has a fencing token that the state service can't have issued yet.
+    /// A worker or controller has a fencing token that the key-value store can't have issued yet.
     TokenAhead {
         /// The fencing token.
         token: u64,
@@ -119,7 +119,7 @@
         None
     }
 
-    /// Restarts the comparison after a loss, as the state service may count revisions from 0 again.
+    /// Restarts the comparison after a loss, as the key-value store may count revisions from 0 again.
     pub fn reset(&mut self) {
         self.highest = 0;
         self.epoch += 1;
@@ -135,15 +135,15 @@
     pub version: u64,
 }
 
-/// The result of comparing the keys of a view with those listed by the state service.
+/// The result of comparing the keys of a view with those listed by the key-value store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Finding {
     /// There is no difference, other than changes made after the listing.
     Same,
     /// Evidence of a loss.
     Lost(Evidence),
-    /// The state service listed a key that the view does not have. The key may have been removed after the listing. If it
-    /// still exists and is still missing from the view, that is evidence of a loss.
+    /// The key-value store listed a key that the view does not have. The key may have been removed after the listing.
+    /// If it still exists and is still missing from the view, that is evidence of a loss.
     Unseen {
         /// First such key in key order.
         key: String,
@@ -152,7 +152,7 @@
     },
 }
 
-/// Compares the keys of a view in a key range with those that the state service listed there as of a revision.
+/// Compares the keys of a view in a key range with those that the key-value store listed there as of a revision.
 ///
 /// Both must be in ascending key order. The view must have applied all changes up to `listed_at_revision` or later.
 pub fn audit<'a>(
--- a/crates/recovery/src/progress.rs
+++ b/crates/recovery/src/progress.rs
@@ -12,8 +12,8 @@
     Ended,
     /// A heartbeat of its worker proves that it is not on the machine.
     Gone,
-    /// Its machine was returned to the cloud provider, which ended all tasks on it.
-    MachineReturned,
+    /// Its machine was terminated, which ended all tasks on it.
+    MachineTerminated,
 }
 
 /// Numbers of tasks that a recovery has resolved so far.
@@ -25,7 +25,7 @@
     pub ended: u64,
     /// Recorded tasks that are proven not to be on their machine.
     pub gone: u64,
-    /// Recorded tasks whose machine was returned to the cloud provider.
+    /// Recorded tasks whose machine was terminated. Logged as `machine_returned`.
     pub machine_returned: u64,
     /// Tasks that ran without a recorded placement and were adopted.
     pub adopted: u64,
@@ -42,11 +42,11 @@
     pub recorded: u64,
     /// Numbers of resolved tasks, with and without a recorded placement.
     pub counts: Counts,
-    /// Microseconds from the start of the recovery until the summary was taken with no task unconfirmed.
+    /// Time from the start of the recovery until the summary was taken, in microseconds.
     pub duration_us: u64,
 }
 
-/// The recorded tasks that neither a heartbeat nor the return of their machine has resolved yet.
+/// The recorded tasks that neither a heartbeat nor the termination of their machine has resolved yet.
 ///
 /// A task whose worker has not sent a heartbeat is unconfirmed: that is evidence neither for nor against the record.
 #[derive(Debug, Default)]
@@ -90,7 +90,7 @@
             Resolution::Agreed => &mut self.counts.agreed,
             Resolution::Ended => &mut self.counts.ended,
             Resolution::Gone => &mut self.counts.gone,
-            Resolution::MachineReturned => &mut self.counts.machine_returned,
+            Resolution::MachineTerminated => &mut self.counts.machine_returned,
         };
         *count += 1;
     }
@@ -113,7 +113,7 @@
         self.unconfirmed_count
     }
 
-    /// Returns whether the summary was not taken yet.
+    /// Returns whether the recovery is in progress, which it is until its summary is taken.
     pub fn is_in_progress(&self) -> bool {
         !self.summary_taken
     }
--- a/crates/recovery/src/rebuild.rs
+++ b/crates/recovery/src/rebuild.rs
@@ -7,7 +7,8 @@
 /// Candidates are ordered by their fields in declaration order; the greatest has the newest view.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Candidate {
-    /// Number of losses that were rebuilt before the snapshot. Revisions are only comparable if it is equal.
+    /// Number of losses that were rebuilt before the snapshot. Only revisions after the same number of losses are
+    /// comparable.
     pub losses: u64,
     /// Revision of the snapshot.
     pub revision: u64,
@@ -15,8 +16,8 @@
     pub node: String,
 }
 
-/// Returns the position of a candidate among all announced candidates, in descending order: 0 is the one with the newest
-/// view. Returns `None` if the candidate is not announced.
+/// Returns the position of a candidate among all announced candidates, in descending order: 0 is the one with the
+/// newest view. Returns `None` if the candidate is not announced.
 pub fn rank(own: &Candidate, all: &[Candidate]) -> Option<usize> {
     let mut sorted: Vec<&Candidate> = all.iter().collect();
     sorted.sort_by(|a, b| b.cmp(a));
@@ -43,8 +44,8 @@
     pub expected_version: u64,
 }
 
-/// Returns the writes that restore the snapshot, in its order: one for each key that is missing and each key that has an
-/// older version with a different value.
+/// Returns the writes that restore the snapshot, in its order: one for each key that is missing and each key that has
+/// an older version with a different value.
 ///
 /// No key is deleted, and keys whose version is at least as new are kept. An outdated snapshot, or one taken although
 /// nothing was lost, therefore overwrites no newer record.
@@ -67,8 +68,8 @@
     snapshot.into_iter().filter_map(to_restore).collect()
 }
 
-/// Returns the base for fencing tokens after a loss. A fencing token is the base plus the revision at which its leader was
-/// elected.
+/// Returns the base for fencing tokens after a loss. A fencing token is the base plus the revision at which its leader
+/// was elected.
 ///
 /// The base is `unix_time`, in microseconds, or one more than the highest known token if the clock is behind that. It
 /// exceeds every known token, and also tokens issued after earlier losses, whose base was an earlier time.
--- a/crates/recovery/src/reconcile.rs
+++ b/crates/recovery/src/reconcile.rs
@@ -66,7 +66,8 @@
         /// Whether its work is done.
         completed: bool,
     },
-    /// The task is not reported, but may still start on the machine. The placement is kept and the task is not placed again.
+    /// The task is not reported, but may still start on the machine. The placement is kept and the task is not placed
+    /// again.
     Unconfirmed,
     /// The start command was lost. It may be sent again for the same attempt.
     CommandLost,
@@ -74,8 +75,8 @@
     Gone,
 }
 
-/// Reconciles a recorded placement with a heartbeat of its machine. `reported` is `None` if the heartbeat does not contain
-/// the task.
+/// Reconciles a recorded placement with a heartbeat of its machine. `reported` is `None` if the heartbeat does not
+/// contain the task.
 pub fn reconcile_recorded(
     recorded: &RecordedTask,
     reported: Option<ReportedState>,
@@ -87,9 +88,10 @@
         Some(ReportedState::Ended) => return RecordedVerdict::Ended { completed: false },
         None => {}
     }
-    // Absence from a heartbeat proves that a task is not on the machine only if no start command for it can still arrive.
-    // A command of an earlier leader can arrive until the worker has received this leader's fencing token. A command of
-    // this leader can arrive until a heartbeat that is newer than the one whose response carried the command.
+    // Absence from a heartbeat proves that a task is not on the machine only if no start command for it can still
+    // arrive. A command of an earlier leader can arrive until the worker has received this leader's fencing token. A
+    // command of this leader can arrive until a heartbeat that is newer than the one whose response carried the
+    // command.
     let is_absence_proven = match recorded.origin {
         Origin::EarlierLeader => heartbeat.has_leader_token,
         Origin::ThisLeader { command_sent_at } => {
@@ -130,9 +132,9 @@
     pub is_finished: bool,
     /// Whether another attempt of the task has a recorded placement, on this or any other machine.
     pub other_attempt_recorded: bool,
-    /// Whether the latest placements may be missing from the records after a loss of state, and this attempt is higher than
-    /// the recorded one. The higher attempt was only placed after the lower one was proven not to be on its machine, so it
-    /// takes precedence.
+    /// Whether the latest placements may be missing from the records after a loss of state, and this attempt is higher
+    /// than the recorded one. The higher attempt was only placed after the lower one was proven not to be on its
+    /// machine, so it takes precedence.
     pub supersedes_recorded: bool,
 }
 
@@ -143,8 +145,9 @@
     FinishedUnwritten,
     /// The task ended and no action follows. The worker may forget it.
     Ended,
-    /// The task is active, its job should run it, and no other attempt is recorded or, after a loss of state, only a lower
-    /// one. The running attempt is recorded as the task's placement, which prevents a second start and loses no work.
+    /// The task is active, its job should run it, and no other attempt is recorded or, after a loss of state, only a
+    /// lower one. The running attempt is recorded as the task's placement, which prevents a second start and loses no
+    /// work.
     Adopted,
     /// Another attempt is recorded and may be running. The reported attempt is stopped.
     OtherAttempt,
--- a/crates/recovery/tests/recovery.rs
+++ b/crates/recovery/tests/recovery.rs
@@ -216,7 +216,7 @@
     assert_eq!(progress.unconfirmed(), 3);
     assert_eq!(progress.take_summary(2_000), None);
     progress.resolve("j-1", 1, Resolution::Gone);
-    progress.resolve("j-2", 70_000, Resolution::MachineReturned);
+    progress.resolve("j-2", 70_000, Resolution::MachineTerminated);
     progress.resolve("j-3", 0, Resolution::Ended);
     let summary = progress.take_summary(5_000).expect("all are confirmed");
     assert_eq!((summary.recorded, summary.duration_us), (4, 4_000));
--- a/crates/stand-ins/src/keys.rs
+++ b/crates/stand-ins/src/keys.rs
@@ -1,4 +1,4 @@
-//! An in-memory key-value store that speaks the protocol of the state service, with leases, watches and injected failures.
+//! An in-memory implementation of the key-value store's protocol, with leases, watches and injected failures.
 
 use http_types::Method;
 use ravenhead::http::{HttpRequest, HttpResponse};
@@ -108,7 +108,8 @@
         HttpResponse::json(200, &json!({"epoch": self.revision}))
     }
 
-    /// Simulates the loss of all state: removes all keys and the change history, ends all leases and resets the revision.
+    /// Simulates the loss of all state: removes all keys and the change history, ends all leases and resets the
+    /// revision.
     pub fn lose_all(&mut self) {
         self.revision = 0;
         self.entries.clear();
@@ -122,7 +123,8 @@
         self.entries.retain(|key, _| !key.starts_with(prefix));
     }
 
-    /// Simulates a restore from a backup taken at an earlier revision. All leases end and keys attached to one are removed.
+    /// Simulates a restore from a backup taken at an earlier revision. All leases end and keys attached to one are
+    /// removed.
     pub fn roll_back(&mut self, revision: u64) {
         let retained = self.changes.partition_point(|(at, _)| *at <= revision);
         let changes: Vec<(u64, Value)> = self.changes.drain(..retained).collect();
@@ -146,8 +148,8 @@
         }
     }
 
-    /// Applies a transaction or, if [`delayed_transactions`](KeyValueStore::delayed_transactions) is set, delays every second
-    /// one.
+    /// Applies a transaction or, if [`delayed_transactions`](KeyValueStore::delayed_transactions) is set, delays every
+    /// second one.
     pub fn handle_transaction(&mut self, body: Value) -> HttpResponse {
         self.transactions_received += 1;
         let received = self.transactions_received;
@@ -162,7 +164,7 @@
             let oldest = delayed.remove(0);
             self.apply_transaction(&oldest);
         }
-        HttpResponse::error(500, "response lost")
+        HttpResponse::error(500, "lost")
     }
 
     /// Ends a lease and deletes the keys attached to it.
@@ -223,16 +225,16 @@
 
 /// Handles one request to the store, subject to the injected failures.
 ///
-/// A watch is answered at once with the whole change history instead of the changes after the requested revision. Clients
-/// have to ignore changes that they have already applied.
+/// A watch is answered at once with the whole change history instead of the changes after the requested revision.
+/// Clients have to ignore changes that they have already applied.
 pub fn handle_request(keys: &RefCell<KeyValueStore>, request: &HttpRequest) -> HttpResponse {
     let mut keys = keys.borrow_mut();
     let is_watch = request.path == "/watch";
     match keys.failure_mode {
-        Some(FailureMode::Unavailable) => return HttpResponse::error(503, "unavailable"),
+        Some(FailureMode::Unavailable) => return HttpResponse::error(503, "trouble"),
         Some(FailureMode::RateLimited) => return HttpResponse::error(429, "too many"),
-        Some(FailureMode::ResponsesLost) => return HttpResponse::error(500, "response lost"),
-        Some(FailureMode::Malformed) => return HttpResponse::json(200, &json!({"x": [1]})),
+        Some(FailureMode::ResponsesLost) => return HttpResponse::error(500, "lost"),
+        Some(FailureMode::Malformed) => return HttpResponse::json(200, &json!({"odd": [1]})),
         Some(FailureMode::Compacted) if is_watch => return HttpResponse::error(410, "too old"),
         Some(FailureMode::Compacted) | None => {}
     }
@@ -243,7 +245,7 @@
                 return response;
             }
             keys.responses_to_lose -= 1;
-            HttpResponse::error(500, "response lost")
+            HttpResponse::error(500, "lost")
         }
         (Method::Post, "/holds") => {
             keys.last_lease += 1;
@@ -262,6 +264,6 @@
             HttpResponse::json(200, &json!({"epoch": last_visible, "news": news}))
         }
         (Method::Get, path) => keys.get(path.trim_start_matches("/keys/")),
-        _ => HttpResponse::error(400, "unknown path"),
+        _ => HttpResponse::error(400, "odd"),
     }
 }
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -59,8 +59,8 @@
 
     /// Returns all machines, read page by page. The cloud's list lags behind the actual state.
     ///
-    /// If a page is refused, only that page is retried. Otherwise a single request above the rate limit would discard the
-    /// pages already read, and the list of a fleet of many pages might never be complete.
+    /// If a page is refused, only that page is retried. Otherwise a single request above the rate limit would discard
+    /// the pages already read, and the list of a fleet of many pages might never be complete.
     ///
     /// # Errors
     ///
--- a/src/cloud/wire.rs
+++ b/src/cloud/wire.rs
@@ -79,7 +79,7 @@
     let text = || String::from_utf8_lossy(body);
     match status {
         200 => {
-            // A successful termination may be answered with an empty body.
+            // The response to a successful termination may have an empty body.
             let json = if body.is_empty() {
                 EMPTY_BODY_JSON
             } else {
--- a/src/config/derived.rs
+++ b/src/config/derived.rs
@@ -30,7 +30,7 @@
 /// Lower bound of the derived number of offers per scheduling cycle.
 const MIN_OFFERS_PER_CYCLE: usize = 1_000;
 
-/// Time, in seconds, whose worth of cloud requests one scheduling cycle may spend on provisioning.
+/// Number of seconds of the cloud's request rate that one scheduling cycle may spend on provisioning.
 const SCALE_OUT_SECONDS: f64 = 0.25;
 /// Lower bound of the derived number of machines provisioned per scheduling cycle.
 const MIN_SCALE_OUT_PER_CYCLE: usize = 24;
@@ -69,7 +69,7 @@
         self.admission_cap.unwrap_or(derived.max(MIN_ADMISSION_CAP))
     }
 
-    /// Returns whether the controller rebuilds stored state that the state service has lost. The default is not to.
+    /// Returns whether the controller rebuilds stored state that the key-value store has lost. The default is not to.
     pub fn rebuilds_lost_state(&self) -> bool {
         self.rebuild == Some(1)
     }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -73,7 +73,7 @@
     /// A name is the empty string.
     #[error("must not be empty")]
     EmptyName,
-    /// The value is below the minimum that a controller needs, which is given here.
+    /// The value is below the minimum that a controller needs. Holds the minimum.
     #[error("must be at least {0}")]
     BelowMinimum(u32),
     /// The socket limit is below the minimum for this number of controllers.
@@ -102,7 +102,7 @@
     /// There is text in a place where only elements are allowed.
     #[error("text outside an element")]
     StrayText,
-    /// The value, given here, is not an unsigned decimal integer.
+    /// The value is not an unsigned decimal integer. Holds its text.
     #[error("{0:?} is not a whole number")]
     NotInteger(String),
     /// The number is outside the range of the setting.
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -27,7 +27,7 @@
     pub leader_lease_ms: Option<u64>,
     /// Whether a new leader logs how much of the state that it found recorded it has confirmed: 0 or 1.
     pub recovery_report: Option<u64>,
-    /// Whether stored state that the state service has lost is rebuilt: 0 or 1.
+    /// Whether stored state that the key-value store has lost is rebuilt: 0 or 1.
     pub rebuild: Option<u64>,
 }
 
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -7,15 +7,15 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Minimum number of sockets for users, workers, the state service and the cloud together.
+/// Minimum number of sockets for users, workers, the key-value store and the cloud together.
 pub(super) const MIN_SOCKETS: usize = 16;
 /// Additional sockets for each other controller: the connections that it opens to this one and those that this one
 /// opens to it.
 pub(super) const SOCKETS_PER_MEMBER: usize = 16;
 
-/// Minimum number of puts and deletes per transaction that the state service must support.
+/// Minimum number of puts and deletes per transaction that the key-value store must support.
 const MIN_TXN_OPS: u32 = 4;
-/// Minimum size limit of a stored value, in KiB, that the state service must support.
+/// Minimum size limit of a stored value, in KiB, that the key-value store must support.
 const MIN_VALUE_KB: u32 = 2;
 
 /// Admission cap below which a warning about the small memory limit is logged.
@@ -23,12 +23,12 @@
 
 /// Maximum time between two heartbeats, as a multiple of the heartbeat interval.
 const MAX_HEARTBEAT_INTERVALS: f64 = 1.25;
-/// Time, in seconds, after which a worker gives up waiting for the answer to a heartbeat.
-const WORKER_ANSWER_TIMEOUT_S: f64 = 4.0;
-/// Time, in seconds, that a worker waits after a missing answer before it tries the next controller.
+/// Time, in seconds, after which a worker gives up waiting for the response to a heartbeat.
+const WORKER_RESPONSE_TIMEOUT_S: f64 = 4.0;
+/// Time, in seconds, that a worker waits after a missing response before it tries the next controller.
 const WORKER_FAILOVER_PAUSE_S: f64 = 1.0;
-/// Time, in seconds, allowed for the answer of the next controller.
-const FAILOVER_ANSWER_S: f64 = 1.0;
+/// Time, in seconds, allowed for the response of the next controller.
+const FAILOVER_RESPONSE_S: f64 = 1.0;
 
 /// Another controller of the deployment.
 #[derive(Debug, Clone, Deserialize)]
@@ -74,13 +74,13 @@
 pub struct Workers {
     /// Interval between heartbeats, in seconds.
     pub report_s: f64,
-    /// Agent lease: time without an answer after which a worker stops its tasks, in seconds.
+    /// Worker lease: time without a response after which a worker stops its tasks, in seconds.
     pub lease_s: f64,
     /// Time after a cancellation within which the tasks must have stopped, in seconds.
     pub cancel_s: f64,
 }
 
-/// Limits of the state service. All controllers together must stay within the rates.
+/// Limits of the key-value store. All controllers together must stay within the rates.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
     /// Maximum requests per second.
@@ -118,7 +118,7 @@
 pub struct External {
     /// Address of the cloud's API.
     pub cloud: SocketAddr,
-    /// Address of the state service.
+    /// Address of the key-value store.
     pub state: SocketAddr,
 }
 
@@ -138,7 +138,7 @@
     pub objectives: Vec<Objective>,
     /// Intervals and time limits of workers.
     pub workers: Workers,
-    /// Limits of the state service.
+    /// Limits of the key-value store.
     pub state: StateLimits,
     /// Limits of the cloud's API.
     pub cloud: CloudLimits,
@@ -235,14 +235,14 @@
         warnings.into_iter().flatten().collect()
     }
 
-    /// Returns a warning if one missed answer is enough to end a worker's lease. Such a worker stops its tasks before
-    /// it can get an answer from the next controller.
+    /// Returns a warning if a worker's lease expires after a single missed response. Such a worker stops its tasks
+    /// before it can get a response from the next controller.
     fn short_lease_warning(&self) -> Option<String> {
         let lease_s = self.facts.workers.lease_s;
         let min_lease_s = self.facts.workers.report_s * MAX_HEARTBEAT_INTERVALS
-            + WORKER_ANSWER_TIMEOUT_S
+            + WORKER_RESPONSE_TIMEOUT_S
             + WORKER_FAILOVER_PAUSE_S
-            + FAILOVER_ANSWER_S;
+            + FAILOVER_RESPONSE_S;
         (lease_s < min_lease_s).then(|| {
             format!(
                 "facts.workers.lease_s: {lease_s} is shorter than the {min_lease_s:.1} s that a worker needs where \
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -38,7 +38,7 @@
         let calls = async {
             let call = || client.call(Method::Get, "/ready", None, Micros::secs(30));
             assert!(matches!(call().await, Err(HttpError::NoAnswer(_))));
-            assert_eq!(call().await.expect("an answer").0, 200);
+            assert_eq!(call().await.expect("a response").0, 200);
         };
         future::zip(server, calls).await;
     });
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! ravenhead, a cluster scheduler whose controllers keep their state only in a state service.
+//! ravenhead, a cluster scheduler whose controllers keep their state only in a key-value store.
 //!
 //! `docs/architecture.md` describes the responsibility of each module and the state that it owns; `docs/design.md`
 //! gives the reasons for the design. Modules depend only on modules of lower layers. The layers are, from the top: the
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -209,7 +209,7 @@
                     let ran = p.is_some_and(|p| p.running_since.is_some());
                     job.lost_work_on_spot |= spot && ran && job.spec.save_grace_s() == 0.0;
                 }
-                self.confirm(&task, Resolution::MachineReturned);
+                self.confirm(&task, Resolution::MachineTerminated);
                 self.release(&task.job, task.index);
                 self.requeue(&task.job, now);
             }
