--- a/src/api.rs
+++ b/src/api.rs
@@ -1,4 +1,4 @@
-//! The server APIs of a controller: HTTP for users, health checks and worker agents, and framed requests from other
+//! The server APIs of a controller: HTTP for users, health checks and workers, and framed requests from other
 //! controllers.
 
 pub mod admission;
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -30,7 +30,7 @@
 enum StatusLookup {
     Found(JobStatus),
     NoSuchJob,
-    /// The state service did not answer in time, or the cancellation could not be confirmed. The user has to retry.
+    /// The key-value store did not respond in time, or the cancellation could not be confirmed. The user has to retry.
     Unavailable,
 }
 
@@ -61,7 +61,7 @@
 pub struct UserApi {
     /// Source of monotonic time and of the Unix time that is stored in records.
     pub clock: Clock,
-    /// Client of the state service.
+    /// Client of the key-value store.
     pub kv: Rc<KvClient>,
     /// Cached view of the key-value store.
     pub store: Rc<StateCache>,
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Returns the current status of an existing job. Submissions are idempotent, so this is the response to a repeated
-    /// one.
+    /// Returns the current status of an existing job: the response to a repeated submission, as submissions are
+    /// idempotent.
     async fn respond_existing(&self, id: &JobId) -> HttpResponse {
         match self.confirmed_status(id).await {
             StatusLookup::Found(status) => HttpResponse::json(200, &status),
@@ -283,7 +283,7 @@
             Some(Outcome::Applied(revision)) => {
                 self.store.record_commits(revision, &put);
                 info!("event=job_cancelled job={id}");
-                // From then on the view shows every placement the job ever had, as nothing is placed after its end.
+                // At this revision the view shows every placement the job ever had, as nothing is placed after its end.
                 let is_visible = self
                     .store
                     .wait_for_revision(revision, VISIBILITY_TIMEOUT)
@@ -330,7 +330,7 @@
     }
 }
 
-/// Returns the response for a state service that did not answer in time. The user has to retry.
+/// Returns the response when the key-value store did not respond in time. The user has to retry.
 fn state_service_timeout() -> HttpResponse {
     HttpResponse::retry_later(503, "state service did not answer", RETRY_AFTER_TRANSIENT_S)
 }
--- a/src/api/wire.rs
+++ b/src/api/wire.rs
@@ -7,7 +7,7 @@
 
 /// Response body for a heartbeat.
 #[derive(Serialize)]
-struct HeartbeatAnswer<'a> {
+struct HeartbeatBody<'a> {
     #[serde(rename = "orders")]
     commands: Vec<CommandMessage<'a>>,
     #[serde(rename = "warrant")]
@@ -18,7 +18,7 @@
 #[derive(Serialize)]
 struct CommandMessage<'a> {
     #[serde(rename = "slackS", skip_serializing_if = "Option::is_none")]
-    slack_s: Option<f64>,
+    save_grace_s: Option<f64>,
     #[serde(rename = "take")]
     task: &'a str,
     #[serde(rename = "try")]
@@ -36,7 +36,7 @@
 
 impl<'a> From<&'a AgentCommand> for CommandMessage<'a> {
     fn from(command: &'a AgentCommand) -> CommandMessage<'a> {
-        let (verb, task, attempt, slack_s) = match command {
+        let (verb, task, attempt, save_grace_s) = match command {
             AgentCommand::Run { task, attempt } => (Verb::Run, task, *attempt, None),
             AgentCommand::Stop {
                 task,
@@ -46,7 +46,7 @@
             AgentCommand::Clear { task, attempt } => (Verb::Clear, task, *attempt, None),
         };
         CommandMessage {
-            slack_s,
+            save_grace_s,
             task,
             attempt,
             verb,
@@ -61,10 +61,10 @@
     node: &'a str,
 }
 
-/// Returns the response to a heartbeat: the leader's own, or one given on its behalf while it can't be reached.
+/// Returns the HTTP response to a heartbeat: the leader's own, or one sent on its behalf while it can't be reached.
 pub(super) fn heartbeat_response(token: FencingToken, commands: &[AgentCommand]) -> HttpResponse {
     let commands = commands.iter().map(CommandMessage::from).collect();
-    HttpResponse::json(200, &HeartbeatAnswer { commands, token })
+    HttpResponse::json(200, &HeartbeatBody { commands, token })
 }
 
 /// Returns the response that redirects a worker to another controller.
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -26,10 +26,10 @@
 /// Time during which the direct route to a controller is not tried after a failure.
 const ROUTE_SUSPENSION: Micros = Micros::secs(3);
 
-/// The answer to a worker's heartbeat.
+/// The response to a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Answer {
-    /// Fencing token of the leader that answered.
+pub struct HeartbeatResponse {
+    /// Fencing token of the leader that created the response.
     pub token: FencingToken,
     /// Commands that the worker has to execute.
     pub commands: Vec<AgentCommand>,
@@ -40,7 +40,7 @@
 /// Handles heartbeats of workers, received directly or relayed by another controller.
 ///
 /// Invariants: commands are sent under the leader's fencing token only while its lease is certain to be valid, except
-/// those that stop cancelled tasks; no answer carries a lower fencing token than the worker has already received.
+/// those that stop cancelled tasks; no response carries a lower fencing token than the worker has already received.
 pub struct WorkerApi {
     /// Source of monotonic time.
     pub clock: Clock,
@@ -71,20 +71,21 @@
         };
         self.cancellations.on_heartbeat(&heartbeat);
         match self.answer_heartbeat(&heartbeat).await {
-            Some(Answer {
+            Some(HeartbeatResponse {
                 redirect_to: Some(other),
                 ..
             }) => redirect(&other),
-            // The worker ignores an answer with a lower token but keeps sending here while its lease runs out, so it
-            // has to choose another controller.
-            Some(answer) if answer.token < heartbeat.token => no_leader(),
-            Some(answer) => heartbeat_response(answer.token, &answer.commands),
+            // The worker would ignore a response with a lower token but keep sending here until its lease expires, so
+            // it has to choose another controller.
+            Some(response) if response.token < heartbeat.token => no_leader(),
+            Some(response) => heartbeat_response(response.token, &response.commands),
             None => self.answer_without_leader(&heartbeat),
         }
     }
 
-    /// Returns the response when no leader can be reached. It renews the worker's lease, so that its tasks keep
-    /// running, but starts nothing.
+    /// Returns the response when no leader can be reached. It redirects the worker or renews the worker's lease, so
+    /// that its tasks keep running, but starts nothing. A worker that has received a higher fencing token than this
+    /// controller knows has to choose another controller itself.
     fn answer_without_leader(&self, heartbeat: &Heartbeat) -> HttpResponse {
         let machine = heartbeat.machine.clone();
         if let Some(other) = self.contacts.redirect_target(&machine, &heartbeat.zone) {
@@ -99,15 +100,16 @@
         heartbeat_response(token, &self.stop_commands_for_cancelled(heartbeat))
     }
 
-    /// Returns the leader's answer, from this controller or a remote one; `None` if there is none in time.
-    async fn answer_heartbeat(&self, heartbeat: &Heartbeat) -> Option<Answer> {
+    /// Returns the leader's response, from this controller or a remote one; `None` if there is none in time.
+    async fn answer_heartbeat(&self, heartbeat: &Heartbeat) -> Option<HeartbeatResponse> {
         if let Some(term) = self.current_term.get() {
-            // A leader may have lost the state service and all other controllers while its workers still reach it.
-            // Another one may lead by then, so the workers are redirected as they are by any isolated controller.
+            // A leader may have lost contact with the key-value store and all other controllers while its workers
+            // still reach it. Another one may lead by then, so the workers are redirected as they are by any isolated
+            // controller.
             let may_be_deposed =
                 self.membership.is_isolated() && !term.may_send_commands(self.clock.now());
-            let answer = self.answer_as_leader(&term, heartbeat, "").await;
-            return answer.filter(|_| !may_be_deposed);
+            let response = self.answer_as_leader(&term, heartbeat, "").await;
+            return response.filter(|_| !may_be_deposed);
         }
         let own_node = self.membership.node().to_owned();
         let time_limit = if self.contacts.is_first_contact(&heartbeat.machine) {
@@ -120,16 +122,16 @@
             .flatten()
     }
 
-    /// Returns the answer of this controller as the leader. `via` is the controller that relayed the heartbeat, empty
-    /// for a direct one.
+    /// Returns the response of this controller as the leader. `via` is the controller that relayed the heartbeat, empty
+    /// if the worker sent it here. Returns `None` if the worker has received a higher fencing token.
     async fn answer_as_leader(
         &self,
         term: &LeaderTerm,
         heartbeat: &Heartbeat,
         via: &str,
-    ) -> Option<Answer> {
-        // Either another controller leads or the worker is faulty: it is sent elsewhere, and the other controllers are
-        // asked who leads.
+    ) -> Option<HeartbeatResponse> {
+        // Either another controller leads or the worker is faulty. The worker is sent elsewhere, and the other
+        // controllers are asked who leads.
         if heartbeat.token > term.token() {
             return None;
         }
@@ -158,7 +160,7 @@
         };
         let is_idle = outcome.is_newest && !outcome.changed && commands.is_empty();
         let may_redirect = via.is_empty() && is_idle && heartbeat.token == term.token();
-        Some(Answer {
+        Some(HeartbeatResponse {
             token: term.token(),
             commands,
             redirect_to: may_redirect
@@ -167,8 +169,8 @@
         })
     }
 
-    /// Returns the controller to which a worker that has no pending work is redirected, if this leader receives the
-    /// heartbeats of too many workers.
+    /// Returns the controller to which a worker is redirected that reported no changes and gets no commands, if this
+    /// leader receives the heartbeats of too many workers.
     fn rebalance_target(&self, term: &LeaderTerm, heartbeat: &Heartbeat) -> Option<String> {
         let should_redirect = term.scheduler.borrow_mut().take_redirect();
         should_redirect
@@ -180,7 +182,7 @@
     ///
     /// These are the only commands that need no leader lease: a cancelled job stays cancelled whoever leads, and a
     /// worker that has received a higher token ignores them. Without them, cancelled tasks would run past the
-    /// cancellation time limit if the state service refuses the leader, or every controller, for longer than that.
+    /// cancellation time limit if the key-value store refuses the leader, or every controller, for longer than that.
     fn stop_commands_for_cancelled(&self, heartbeat: &Heartbeat) -> Vec<AgentCommand> {
         let running = heartbeat
             .tasks
@@ -198,12 +200,17 @@
     }
 
     /// Forwards a heartbeat to the leader: directly, and if that fails and `relay` is set, through another controller.
-    async fn forward(&self, heartbeat: &Heartbeat, via: &str, relay: bool) -> Option<Answer> {
+    async fn forward(
+        &self,
+        heartbeat: &Heartbeat,
+        via: &str,
+        relay: bool,
+    ) -> Option<HeartbeatResponse> {
         let leader = self.membership.cluster_status().leader?;
         let leader_peer = self.peers.iter().find(|p| p.node == leader)?;
         if !self.membership.is_route_suspended(&leader) {
             match self.forward_to(leader_peer, heartbeat, via, false).await {
-                Some(answer) => return Some(answer),
+                Some(response) => return Some(response),
                 None => self.membership.suspend_route(&leader, ROUTE_SUSPENSION),
             }
         }
@@ -214,8 +221,8 @@
             if other.node == leader || self.membership.is_route_suspended(&other.node) {
                 continue;
             }
-            if let Some(answer) = self.forward_to(other, heartbeat, via, true).await {
-                return Some(answer);
+            if let Some(response) = self.forward_to(other, heartbeat, via, true).await {
+                return Some(response);
             }
         }
         None
@@ -229,7 +236,7 @@
         heartbeat: &Heartbeat,
         via: &str,
         relay: bool,
-    ) -> Option<Answer> {
+    ) -> Option<HeartbeatResponse> {
         let request = PeerRequest::Heartbeat {
             relay,
             via: via.to_owned(),
@@ -242,7 +249,7 @@
             Ok(frame) => {
                 self.membership.observe(&frame.cluster_status);
                 match frame.message {
-                    PeerReply::Answer { token, commands } => Some(Answer {
+                    PeerReply::Answer { token, commands } => Some(HeartbeatResponse {
                         token,
                         commands,
                         redirect_to: None,
@@ -264,13 +271,13 @@
     /// Handles a heartbeat that another controller forwarded.
     pub async fn answer_relayed(&self, heartbeat: Heartbeat, via: &str, relay: bool) -> PeerReply {
         self.cancellations.on_heartbeat(&heartbeat);
-        let answer = match self.current_term.get() {
+        let response = match self.current_term.get() {
             Some(term) => self.answer_as_leader(&term, &heartbeat, via).await,
             None if relay => self.forward(&heartbeat, via, false).await,
             None => None,
         };
-        match answer {
-            Some(Answer {
+        match response {
+            Some(HeartbeatResponse {
                 token, commands, ..
             }) => PeerReply::Answer { token, commands },
             None => PeerReply::NoLeader,
--- a/src/cancellation.rs
+++ b/src/cancellation.rs
@@ -1,7 +1,7 @@
 //! Tracks cancellations: which controllers know of them, and on which machines their tasks may still run.
 //!
 //! A user may get the status "aborted" from any controller, and a worker may send its heartbeats to any controller,
-//! including one that the state service refuses. So a controller notifies all others before it reports a cancellation
+//! including one that the key-value store refuses. So a controller notifies all others before it reports a cancellation
 //! to a user. Machines that no controller can send a stop command to are terminated.
 
 mod service;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Removes a cancelled job from those that heartbeats of a machine are checked for.
+    /// Stops checking heartbeats of a machine for tasks of a cancelled job.
     fn stop_tracking(&mut self, machine: &MachineId, job: &JobId) {
         if let Some(jobs) = self.residue_by_machine.get_mut(machine) {
             jobs.remove(job);
@@ -184,7 +184,7 @@
     }
 
     /// Updates what is known of cancelled tasks on a machine from its heartbeat. Tasks count as gone after two
-    /// successive heartbeats without them, both from after the time in which a start command could still arrive.
+    /// successive heartbeats without them, both received after the time in which a start command could still arrive.
     pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, unix_time: u64) {
         let machine = &heartbeat.machine;
         let Some(jobs) = self.residue_by_machine.get(machine) else {
--- a/src/cancellation/service.rs
+++ b/src/cancellation/service.rs
@@ -20,7 +20,7 @@
 const ACKNOWLEDGE_TIMEOUT: Micros = Micros::millis(500);
 /// Timeout of the request that checks whether the cloud is available.
 const CLOUD_PROBE_TIMEOUT: Micros = Micros::millis(900);
-/// Time for which an answer of the cloud counts as proof that it is available.
+/// Time for which a response of the cloud counts as proof that it is available.
 const CLOUD_PROBE_VALIDITY: Micros = Micros::secs(3);
 /// Interval between checks for machines that have to be terminated because of cancelled tasks.
 const RESIDUE_CHECK_INTERVAL: Micros = Micros::secs(1);
@@ -70,8 +70,8 @@
 
     /// Records cancellations, whether or not the view shows them yet.
     ///
-    /// Without this, tasks could run past the time limit if the state service stops answering right after the commit,
-    /// because no watch event would reach the leader.
+    /// Without this, tasks could run past the time limit if the key-value store stops responding right after the
+    /// commit, because no watch event would reach the leader.
     pub fn record(&self, cancelled: &[Cancellation]) {
         for cancellation in cancelled {
             self.registry.borrow_mut().insert(cancellation);
@@ -144,16 +144,16 @@
         self.registry.borrow().residue_cleared_since(from)
     }
 
-    /// Returns whether a user may be told that a job is cancelled that the view shows as cancelled. Returns false if
+    /// Returns whether a user may be told that a job, which the view shows as cancelled, is cancelled. Returns false if
     /// the controllers can't ensure that its tasks stop in time.
     ///
-    /// A worker may send its heartbeats to any controller, and a controller that the state service refuses learns of
+    /// A worker may send its heartbeats to any controller, and a controller that the key-value store refuses learns of
     /// the cancellation only from the other controllers. So all of them are notified before the user gets the answer;
     /// otherwise a cancelled task could run past the time limit. A controller that does not acknowledge may be down, or
     /// partitioned together with its workers. The leader, or any controller that knows of the cancellation, terminates
-    /// those machines in time. This requires that the cloud is available and that at least one other controller knows
-    /// of the cancellation: this process may end, and the state service may then not be available to read the
-    /// cancellation from.
+    /// the machines of those workers in time. This requires that the cloud is available and that at least one other
+    /// controller knows of the cancellation: this process may exit or crash, and the key-value store may then not be
+    /// available to read the cancellation from.
     ///
     /// None of this is needed if no task was placed, as none can be placed after the cancellation.
     pub async fn confirm(&self, job: &JobId) -> bool {
@@ -166,7 +166,7 @@
         let cancellation = [cancellation];
         self.record(&cancellation);
         let acknowledged = self.notify_peers(&cancellation).await;
-        // If only this process knew of the cancellation, it would be lost when the process ends.
+        // A cancellation that only this process knows of would be lost when the process exits or crashes.
         let is_enforceable = acknowledged == self.peers.len()
             || self.registry.borrow().is_cleared(job)
             || acknowledged > 0 && self.is_cloud_available().await;
@@ -220,8 +220,8 @@
         acknowledged
     }
 
-    /// Returns whether the cloud is available to terminate machines: it answered within [`CLOUD_PROBE_VALIDITY`], or
-    /// answers a request that is sent here.
+    /// Returns whether the cloud is available to terminate machines: it responded within the last
+    /// [`CLOUD_PROBE_VALIDITY`], or responds to a request that is sent here.
     async fn is_cloud_available(&self) -> bool {
         let now = self.clock.now();
         if now.since(self.cloud_answered_at.get()) < CLOUD_PROBE_VALIDITY {
@@ -238,8 +238,8 @@
     /// Periodically terminates machines on which cancelled tasks may still run, as long as no leader can be reached to
     /// do it.
     ///
-    /// Covers cancellations whose leader has ended, or is partitioned from all other controllers, while the state
-    /// service prevents the election of a successor.
+    /// Covers cancellations whose leader has exited or crashed, or is partitioned from all other controllers, while the
+    /// key-value store prevents the election of a successor.
     pub async fn terminate_overdue_machines(&self) {
         loop {
             sleep(RESIDUE_CHECK_INTERVAL).await;
--- a/src/connections.rs
+++ b/src/connections.rs
@@ -18,8 +18,8 @@
 /// Invariant: the count equals the number of [`OpenConnection`]s that have not been dropped.
 pub struct Connections {
     open: Cell<usize>,
-    /// Maximum number of accepted connections. The other sockets are reserved for the state service, the cloud and the
-    /// other controllers.
+    /// Maximum number of accepted connections. The other sockets are reserved for the key-value store, the cloud and
+    /// the other controllers.
     max: usize,
     heartbeat_interval: Micros,
     is_shortage_logged: Cell<bool>,
--- a/src/contacts.rs
+++ b/src/contacts.rs
@@ -36,7 +36,7 @@
     store: Rc<StateCache>,
     membership: Rc<Membership>,
     heartbeat_interval: Micros,
-    /// Time after which a worker without an answer loses its lease.
+    /// Time without a response after which a worker's lease expires.
     lease: Micros,
     max_values_per_txn: usize,
     max_value_bytes: usize,
@@ -92,8 +92,8 @@
         recent_contacts.insert(machine.clone(), (), now.0).is_none()
     }
 
-    /// Returns the controller to which a worker should be redirected whose heartbeat can't be forwarded, or `None` if
-    /// it must stay.
+    /// Returns the controller to which to redirect a worker whose heartbeat can't be forwarded, or `None` if the worker
+    /// must stay.
     ///
     /// If the target does not respond, the worker comes back here, and its lease must last until then. So a worker is
     /// redirected only after a heartbeat of it was answered here a moment ago, and not again until twice its lease has
@@ -145,11 +145,11 @@
         Some(names[(own_index + names.len() - steps_back) % names.len()].to_owned())
     }
 
-    /// Returns the leader if workers of `zone` probably reach it although this controller does not.
+    /// Returns the leader if workers of `zone` probably reach it although this controller does not. Returns `None` if
+    /// the key-value store is unreachable or the view shows no leader.
     ///
-    /// This needs a leader that the view shows while the state service is reachable. A leader in `zone` is reached by
-    /// its workers. If this controller can't reach any other controller of its own zone either, the partition separates
-    /// controllers, not zones, and any worker reaches the leader.
+    /// Workers reach a leader in their own zone. If this controller reaches none of the other controllers of its own
+    /// zone either, the partition separates controllers, not zones, and any worker reaches the leader.
     fn leader_reachable_from_zone(&self, zone: &str) -> Option<String> {
         if !self.store.reachable() {
             return None;
@@ -161,8 +161,8 @@
             .iter()
             .filter(|m| m.zone == self.membership.zone())
             .peekable();
-        // A single unreachable controller may just have ended, so all others of this zone must be unreachable, and
-        // there must be at least one.
+        // One unreachable controller proves no partition, since its process may have exited. So all others of this
+        // zone must be unreachable, and there must be at least one.
         let zone_peers_unreachable = zone_peers.peek().is_some()
             && !zone_peers.any(|m| self.membership.is_peer_reachable(&m.node));
         (leader_member.zone == zone || zone_peers_unreachable).then_some(leader)
@@ -171,7 +171,7 @@
     /// Writes to the key-value store which machines send heartbeats here that can't be forwarded, so that the leader
     /// learns of them.
     ///
-    /// Without this, the leader would take the machines of a partitioned zone for dead.
+    /// Without this, the leader would treat the machines of a partitioned zone as dead.
     pub async fn publish(&self) {
         let interval = self.heartbeat_interval;
         loop {
--- a/src/kv/lease.rs
+++ b/src/kv/lease.rs
@@ -41,8 +41,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`KvError::LeaseNotFound`] if the lease has ended. After any other error, the lease may or may not have
-    /// been extended.
+    /// Returns [`KvError::LeaseNotFound`] if the lease has expired or was revoked. After any other error, the lease may
+    /// or may not have been extended.
     pub async fn extend(&self, lease: LeaseId) -> Result<(), KvError> {
         self.budget.pace(Urgency::Now, 0).await;
         let path = format!("/holds/{lease}/extend");
@@ -54,11 +54,11 @@
         }
     }
 
-    /// Revokes a lease, which deletes the keys attached to it. Revoking a lease that has already ended succeeds.
+    /// Revokes a lease, which deletes the keys attached to it. Succeeds if the lease no longer exists.
     ///
     /// # Errors
     ///
-    /// Fails if no valid response arrives in time. The lease then ends at the latest when its time to live has elapsed.
+    /// Fails if no valid response arrives in time. The lease then expires after its time to live at the latest.
     pub async fn revoke(&self, lease: LeaseId) -> Result<(), KvError> {
         self.budget.pace(Urgency::Now, 0).await;
         let path = format!("/holds/{lease}");
--- a/src/state_loss.rs
+++ b/src/state_loss.rs
@@ -1,5 +1,5 @@
-//! Rebuilds stored state after a loss, from the most recent view that a controller has, under a lease of the state
-//! service.
+//! Rebuilds stored state after a loss, from the most recent view that a controller has, under a leader lease of the
+//! key-value store.
 //!
 //! Every controller's cached view is a replica of the stored state at one revision. A controller that finds evidence of
 //! a loss (`ravenhead_recovery::Evidence`) keeps its view as a snapshot and announces the snapshot's revision in a key.
@@ -33,8 +33,8 @@
 const NO_VIEW_GRACE_PERIOD: Micros = Micros::secs(15);
 /// Maximum time that a controller which has just started waits for the cluster status of the others.
 const COMPARISON_TIMEOUT: Micros = Micros::secs(3);
-/// Maximum time after a loss during which answers are withheld because some controller has not announced what it knows.
-/// It is shorter than the time without an answer after which a job counts as forgotten.
+/// Maximum time after a loss during which answers to users are withheld because some controller has not announced what
+/// it knows. It is shorter than the time after which a job whose user gets no answer counts as forgotten.
 const CONTRIBUTION_TIMEOUT: Micros = Micros::secs(60);
 /// Pause before a transaction is sent again.
 const RETRY_INTERVAL: Micros = Micros::millis(150);
@@ -75,9 +75,9 @@
         }
     }
 
-    /// Returns whether answers are withheld because this controller may not know what users were told before: stored
-    /// state is lost or not fully rebuilt, or this process started a moment ago and has not compared what it read with
-    /// what the other controllers know.
+    /// Returns whether answers to users are withheld because this controller may not know what users were told before:
+    /// stored state is lost or not fully rebuilt, or this process started a moment ago and has not compared what it read
+    /// with what the other controllers know.
     pub fn withholds_answers(&self) -> bool {
         if !self.is_enabled {
             return false;
--- a/src/state_loss/audit.rs
+++ b/src/state_loss/audit.rs
@@ -1,5 +1,5 @@
-//! Searches for evidence of a loss: keys that differ from the view, and fencing tokens that the state service can't
-//! have issued.
+//! Searches for evidence of a loss: keys that differ from the view, and fencing tokens that are too high for the
+//! key-value store's revision.
 
 use super::{CATCH_UP_TIMEOUT, StateLossRecovery};
 use crate::fencing::FencingToken;
@@ -20,7 +20,7 @@
 }
 
 impl StateLossRecovery {
-    /// Checks whether any controller knows a fencing token that the state service can't have issued.
+    /// Reports a loss if any controller knows a fencing token that is too high for the key-value store's revision.
     pub(super) async fn audit_tokens(&self) {
         let token = self.membership.cluster_status().token;
         let is_ahead = |view: &View| view.loaded && token > view.token(view.revision);
--- a/src/state_loss/follower.rs
+++ b/src/state_loss/follower.rs
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Announces to the other controllers what this one can rebuild from; returns whether the announcement was written.
+    /// Announces to the other controllers what this one can rebuild from. Returns false if the announcement has to be
+    /// written again.
     async fn announce_candidate(&self) -> bool {
         let record = {
             let loss = self.store.loss.borrow();
--- a/src/state_loss/plan.rs
+++ b/src/state_loss/plan.rs
@@ -1,4 +1,5 @@
-//! Determines the records to write in a rebuild: those that a snapshot has and the stored state lacks.
+//! Determines the records to write in a rebuild: those of a snapshot that the stored state lacks or has in an older
+//! version.
 
 use super::StateLossRecovery;
 use crate::revision::Revision;
@@ -13,8 +14,8 @@
 const ARCHIVED_END_BYTES: usize = 160;
 
 impl StateLossRecovery {
-    /// Returns the records that the stored state lacks, compared with this controller's snapshot and the cancellations
-    /// it knows.
+    /// Returns the records that the stored state lacks or has in an older version, compared with this controller's
+    /// snapshot and the cancellations it knows.
     pub(super) fn plan(&self, number: u64) -> Vec<Restore<Value>> {
         let loss = self.store.loss.borrow();
         let Some(snapshot) = loss.as_ref().and_then(|l| l.snapshot.as_ref()) else {
@@ -46,7 +47,7 @@
             .map(|(id, end)| new_record(&StoreKey::JobEnd((*id).clone()), end))
             .collect();
         records.extend(self.archive_records(number, &archived, &view));
-        records.extend(snapshot.records_to_restore(&view));
+        records.extend(snapshot.records_to_preserve(&view));
         records_to_restore(records, &view.job_and_chunk_records())
     }
 
@@ -142,7 +143,7 @@
 impl View {
     /// Returns the records that have to survive a loss, apart from job ends: jobs and their chunks, and the machine
     /// types and provisioning requests that `current` lacks.
-    fn records_to_restore(&self, current: &View) -> Vec<(String, VersionedValue<Value>)> {
+    fn records_to_preserve(&self, current: &View) -> Vec<(String, VersionedValue<Value>)> {
         let mut records: Vec<(String, VersionedValue<Value>)> =
             self.job_and_chunk_records().into_iter().collect();
         if let Some(types) = &self.machine_types
--- a/src/store.rs
+++ b/src/store.rs
@@ -58,8 +58,8 @@
 }
 
 impl StateCache {
-    /// Creates a cache with an empty view, which pauses for `coalesce_window` after a watch that returned
-    /// changes, so that the next watch returns a batch.
+    /// Creates a cache with an empty view. After a watch that returned changes, it pauses for `coalesce_window`, so
+    /// that the next watch returns a batch.
     pub fn new(kv: Rc<KvClient>, clock: Clock, coalesce_window: Micros) -> StateCache {
         StateCache {
             kv,
--- a/src/store/barrier.rs
+++ b/src/store/barrier.rs
@@ -18,7 +18,7 @@
 
 /// Interval at which the revision is read, as a probe of the store, when no reader waits for the barrier.
 const PROBE_INTERVAL: Micros = Micros::secs(1);
-/// Total time a reader waits for the barrier.
+/// Maximum total time that a reader waits for the barrier.
 const BARRIER_TIMEOUT: Micros = Micros::millis(1_300);
 /// Timeout of the read of the current revision.
 const READ_TIMEOUT: Micros = Micros::millis(800);
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -48,8 +48,8 @@
         /// The number of the chunk within the job, from 0.
         chunk: u32,
     },
-    /// The contacts of a controller: machines whose heartbeats it receives. The list is split into parts to fit into
-    /// values.
+    /// The contacts of a controller: machines whose heartbeats it receives but can't forward to the leader. The list is
+    /// split into parts to fit into values.
     Contacts {
         /// The node name of the controller.
         node: String,
@@ -62,7 +62,7 @@
     Images(MachineId),
     /// The state of a controller as a candidate for rebuilding lost state, by the controller's node name.
     RebuildCandidate(String),
-    /// A part of the archive in which a rebuild stores the ends of jobs that have no record of their own.
+    /// A part of the archive in which a rebuild stores the ends of jobs that no longer have a job record.
     EndArchive {
         /// The number of the loss that was rebuilt.
         loss: u64,
--- a/src/store/view.rs
+++ b/src/store/view.rs
@@ -30,7 +30,8 @@
     Job(JobId),
     /// The end of a job was written.
     JobEnded(JobId),
-    /// A controller, by its node name, published the machines whose heartbeats it receives.
+    /// A controller, by its node name, published the machines whose heartbeats it receives but can't forward to the
+    /// leader.
     Contacts(String, Vec<MachineId>),
     /// The machine types were written.
     MachineTypes,
@@ -52,7 +53,7 @@
     pub ends: HashMap<JobId, Versioned<JobEnd>>,
     /// The last loss of stored state.
     pub loss: Option<Versioned<LossRecord>>,
-    /// The controllers' rebuild candidates, by node name.
+    /// The latest candidate record of each controller, by node name.
     pub candidates: BTreeMap<String, CandidateRecord>,
     /// Number of archive parts with job ends, including those that can't be parsed.
     pub end_archive_parts: usize,
