--- a/src/state_loss.rs
+++ b/src/state_loss.rs
@@ -75,9 +75,10 @@
         }
     }
 
-    /// Returns whether answers to users are withheld because this controller may not know what users were told before:
-    /// stored state is lost or not fully rebuilt, or this process started a moment ago and has not compared what it read
-    /// with what the other controllers know.
+    /// Returns whether answers to users are withheld because this controller may not know what users were told before.
+    /// That is the case while stored state is lost or not fully rebuilt, while another controller may still contribute
+    /// records that only it knows, and right after this process has started, until it has compared what it read with
+    /// what the other controllers know.
     pub fn withholds_answers(&self) -> bool {
         if !self.is_enabled {
             return false;
