--- a/src/scheduler/scenarios/recovery.rs
+++ b/src/scheduler/scenarios/recovery.rs
@@ -1,142 +1,151 @@
-//! New leaders and restarts.
+//! Changes of leader, restarts of all controllers and losses of stored state.
 
-use super::{Scenario, TOKEN, aborted, later, runs, spec};
+use super::{Simulation, TOKEN, aborted, count_starts, spec, token_after};
 use crate::cloud_types::{ListedMachine, ListedStatus};
 use crate::scheduler::{ExitCause, FleetPlan, JobId, JobSpec, MachineId, Pool, TaskState};
 use crate::units::Micros;
 
 #[test]
-fn a_new_leader_does_not_take_absence_for_proof_until_its_token_was_seen() {
-    let mut t = Scenario::new(0.0);
-    t.worker("m-1", "a", false);
-    t.submit(spec("j-1", 1));
-    t.round();
-    // The old leader's start is on its way when the new one takes over.
-    let late = t.ask("m-1");
-    t.take_over(later(TOKEN, 1));
-    t.worker("m-2", "a", false);
-    let orders = t.ask("m-1");
+fn new_leader_does_not_release_an_absent_task_until_its_token_is_acknowledged() {
+    let mut sim = Simulation::new(0.0);
+    sim.add_worker("m-1", "a", false);
+    sim.submit(spec("j-1", 1));
+    sim.run_cycle_and_commit();
+    // The start sent by the old leader is still in transit when the new leader takes over.
+    let delayed_commands = sim.send_heartbeat("m-1");
+    sim.change_leader(token_after(TOKEN, 1));
+    sim.add_worker("m-2", "a", false);
+    let commands = sim.send_heartbeat("m-1");
     assert_eq!(
-        runs(&orders),
+        count_starts(&commands),
         0,
-        "the report shows the task absent, but under the old token"
+        "the heartbeat lacks the task, but carries the old token"
     );
     assert_eq!(
-        t.workers["m-2"].running(),
+        sim.workers["m-2"].running(),
         0,
-        "so it is not offered elsewhere"
+        "the task is not placed elsewhere"
     );
-    // The late start arrives first after all: the task runs once, where it was placed.
-    t.workers.get_mut("m-1").unwrap().execute(&late, TOKEN);
-    t.workers
+    // The delayed start arrives first: the task runs once, where it was placed.
+    sim.workers
         .get_mut("m-1")
         .unwrap()
-        .execute(&orders, later(TOKEN, 1));
-    t.beat_all();
-    t.beat_all();
-    assert_eq!(t.running(), 1);
+        .execute(&delayed_commands, TOKEN);
+    sim.workers
+        .get_mut("m-1")
+        .unwrap()
+        .execute(&commands, token_after(TOKEN, 1));
+    sim.heartbeat_all();
+    sim.heartbeat_all();
+    assert_eq!(sim.running(), 1);
 }
 
 #[test]
-fn a_new_leader_frees_what_is_absent_under_its_own_token() {
-    let mut t = Scenario::new(0.0);
-    t.worker("m-1", "a", false);
-    t.submit(spec("j-1", 1));
-    t.round();
-    let late = t.ask("m-1");
-    t.take_over(later(TOKEN, 1));
-    t.beat("m-1");
-    t.beat("m-1");
-    // The deposed leader's answer is dropped, as its token is lower now.
-    t.workers.get_mut("m-1").unwrap().execute(&late, TOKEN);
-    t.beat("m-1");
-    assert_eq!(t.running(), 1);
-    let attempts: Vec<u64> = t.workers["m-1"].tasks.keys().map(|(_, a)| *a).collect();
-    assert_eq!(attempts, vec![2], "attempts only rise");
+fn new_leader_releases_a_task_that_is_absent_under_its_own_token() {
+    let mut sim = Simulation::new(0.0);
+    sim.add_worker("m-1", "a", false);
+    sim.submit(spec("j-1", 1));
+    sim.run_cycle_and_commit();
+    let delayed_commands = sim.send_heartbeat("m-1");
+    sim.change_leader(token_after(TOKEN, 1));
+    sim.heartbeat("m-1");
+    sim.heartbeat("m-1");
+    // The worker drops the old leader's answer, as its token is lower than the highest one received.
+    sim.workers
+        .get_mut("m-1")
+        .unwrap()
+        .execute(&delayed_commands, TOKEN);
+    sim.heartbeat("m-1");
+    assert_eq!(sim.running(), 1);
+    let attempts: Vec<u64> = sim.workers["m-1"].tasks.keys().map(|(_, a)| *a).collect();
+    assert_eq!(attempts, vec![2], "attempt numbers only increase");
 }
 
 #[test]
-fn after_a_restart_of_all_controllers_nothing_runs_twice_and_nothing_is_lost() {
-    let mut t = Scenario::new(0.0);
-    t.worker("m-1", "a", false);
-    t.worker("m-2", "b", false);
-    t.submit(spec("j-1", 4));
-    t.round();
-    t.beat_all();
-    assert_eq!(t.running(), 4);
-    t.take_over(later(TOKEN, 1));
-    t.beat_all();
-    t.beat_all();
-    assert_eq!(t.running(), 4);
-    for w in t.workers.values_mut() {
-        w.exit_all(ExitCause::Done);
+fn after_a_restart_of_all_controllers_no_task_runs_twice_and_none_is_lost() {
+    let mut sim = Simulation::new(0.0);
+    sim.add_worker("m-1", "a", false);
+    sim.add_worker("m-2", "b", false);
+    sim.submit(spec("j-1", 4));
+    sim.run_cycle_and_commit();
+    sim.heartbeat_all();
+    assert_eq!(sim.running(), 4);
+    sim.change_leader(token_after(TOKEN, 1));
+    sim.heartbeat_all();
+    sim.heartbeat_all();
+    assert_eq!(sim.running(), 4);
+    for worker in sim.workers.values_mut() {
+        worker.exit_all(ExitCause::Done);
     }
-    t.beat_all();
-    t.beat_all();
-    assert_eq!(t.done.len(), 1);
+    sim.heartbeat_all();
+    sim.heartbeat_all();
+    assert_eq!(sim.done.len(), 1);
 }
 
-// Guards against slow starts after a change of leader, when nobody knew any more which machine had which image.
+// Prevents slow starts after a change of leader: a new leader without records of the images on machines would place
+// tasks where the image must be fetched.
 #[test]
-fn a_new_leader_knows_which_machine_has_an_image() {
-    let mut t = Scenario::new(0.0);
-    t.worker("m-2", "a", false);
-    let first = t.submit(spec("j-1", 1));
-    t.round();
-    t.beat("m-2");
-    t.beat("m-2");
-    t.s.end_job(&first, aborted(0));
-    t.beat("m-2");
-    t.beat("m-2");
-    t.commit();
-    t.records.remove(&first);
-    t.worker("m-1", "a", false);
-    t.take_over(later(TOKEN, 1));
-    t.beat_all();
-    t.beat_all();
-    t.submit(spec("j-2", 1));
-    t.round();
-    t.beat_all();
-    assert_eq!(t.workers["m-2"].running(), 1);
-    let gone = MachineId("m-2".into());
-    t.s.on_terminated(std::slice::from_ref(&gone), t.now);
-    t.commit();
-    assert!(!t.images.contains_key(&gone));
+fn new_leader_places_tasks_by_the_recorded_images() {
+    let mut sim = Simulation::new(0.0);
+    sim.add_worker("m-2", "a", false);
+    let first_job = sim.submit(spec("j-1", 1));
+    sim.run_cycle_and_commit();
+    sim.heartbeat("m-2");
+    sim.heartbeat("m-2");
+    sim.scheduler.end_job(&first_job, aborted(0));
+    sim.heartbeat("m-2");
+    sim.heartbeat("m-2");
+    sim.commit();
+    sim.records.remove(&first_job);
+    sim.add_worker("m-1", "a", false);
+    sim.change_leader(token_after(TOKEN, 1));
+    sim.heartbeat_all();
+    sim.heartbeat_all();
+    sim.submit(spec("j-2", 1));
+    sim.run_cycle_and_commit();
+    sim.heartbeat_all();
+    assert_eq!(sim.workers["m-2"].running(), 1);
+    let terminated = MachineId("m-2".into());
+    sim.scheduler
+        .on_terminated(std::slice::from_ref(&terminated), sim.now);
+    sim.commit();
+    assert!(!sim.images.contains_key(&terminated));
 }
 
-// Guards against a machine that is back under a new agent epoch before the old one was missed: what it lost starts again,
-// what was on its way to the old agent epoch is not taken for started, and one such return is no deafness.
+// A worker may restart with a new agent epoch before the heartbeats of the old one are missed. The tasks that it lost
+// start again, commands in transit to the old agent epoch do not count as received, and a single restart does not make
+// the machine count as unreachable for answers.
 #[test]
-fn a_machine_back_at_once_under_a_new_agent_epoch_starts_its_tasks_again() {
-    let mut t = Scenario::new(0.0);
-    t.worker("m-1", "a", false);
-    t.submit(spec("j-1", 2));
-    t.round();
-    let lost = t.ask("m-1");
-    assert_eq!(runs(&lost), 2);
-    let worker = t.workers.get_mut("m-1").expect("a worker");
+fn tasks_of_a_worker_that_restarts_at_once_with_a_new_agent_epoch_are_started_again() {
+    let mut sim = Simulation::new(0.0);
+    sim.add_worker("m-1", "a", false);
+    sim.submit(spec("j-1", 2));
+    sim.run_cycle_and_commit();
+    let lost_commands = sim.send_heartbeat("m-1");
+    assert_eq!(count_starts(&lost_commands), 2);
+    let worker = sim.workers.get_mut("m-1").expect("a worker");
     (worker.agent_epoch, worker.sequence) = (2, 0);
-    t.beat("m-1");
-    t.wait(1);
-    t.beat("m-1");
-    t.beat("m-1");
-    assert_eq!(t.workers["m-1"].running(), 2);
-    let worker = t.workers.get_mut("m-1").expect("a worker");
+    sim.heartbeat("m-1");
+    sim.advance(1);
+    sim.heartbeat("m-1");
+    sim.heartbeat("m-1");
+    assert_eq!(sim.workers["m-1"].running(), 2);
+    let worker = sim.workers.get_mut("m-1").expect("a worker");
     worker.tasks.clear();
     (worker.agent_epoch, worker.sequence) = (3, 0);
-    t.beat("m-1");
-    t.wait(1);
-    t.beat("m-1");
-    assert_eq!(t.workers["m-1"].running(), 2);
-    assert!(t.s.plan_fleet(t.now, 0).terminate.is_empty());
+    sim.heartbeat("m-1");
+    sim.advance(1);
+    sim.heartbeat("m-1");
+    assert_eq!(sim.workers["m-1"].running(), 2);
+    assert!(sim.scheduler.plan_fleet(sim.now, 0).terminate.is_empty());
 }
 
-// Guards against a new leader that rents anew what runs already, and against one that waits though it heard all.
+// Prevents a new leader from provisioning machines that already exist, and from waiting although all have reported.
 #[test]
-fn a_new_leader_provisions_once_it_has_heard_what_is_up() {
-    let mut t = Scenario::new(0.0);
-    t.take_over(later(TOKEN, 1));
-    let up = ListedMachine {
+fn new_leader_provisions_only_after_all_running_machines_have_reported() {
+    let mut sim = Simulation::new(0.0);
+    sim.change_leader(token_after(TOKEN, 1));
+    let listed_machine = ListedMachine {
         machine: MachineId("m-1".into()),
         machine_type: "rig".into(),
         zone: "a".into(),
@@ -144,152 +153,175 @@
         status: ListedStatus::Running,
         age_s: 100.0,
     };
-    t.submit(spec("j-1", 8));
+    sim.submit(spec("j-1", 8));
     assert_eq!(
-        t.s.plan_fleet(t.now, 0).provision,
+        sim.scheduler.plan_fleet(sim.now, 0).provision,
         vec![],
-        "nothing is known yet"
+        "the machine list has not been read"
     );
-    t.s.on_list(&[up], t.now);
+    sim.scheduler.on_list(&[listed_machine], sim.now);
     assert_eq!(
-        t.s.plan_fleet(t.now, 0).provision,
+        sim.scheduler.plan_fleet(sim.now, 0).provision,
         vec![],
-        "one is up and not heard"
+        "a listed machine has not reported"
     );
-    t.worker("m-1", "a", false);
-    t.wait(1);
-    t.beat("m-1");
-    let rented: usize =
-        t.s.plan_fleet(t.now, 0)
-            .provision
-            .iter()
-            .map(|w| w.count)
-            .sum();
-    assert_eq!(rented, 3);
+    sim.add_worker("m-1", "a", false);
+    sim.advance(1);
+    sim.heartbeat("m-1");
+    let provisioned: usize = sim
+        .scheduler
+        .plan_fleet(sim.now, 0)
+        .provision
+        .iter()
+        .map(|request| request.count)
+        .sum();
+    assert_eq!(provisioned, 3);
 }
 
-// Guards against tasks that wait for machines which the leader before gave back, though its note of them still stands.
+// Prevents tasks from waiting for machines that an earlier leader terminated although its provisioning record still
+// contains them.
 #[test]
-fn a_new_leader_does_not_count_on_what_should_long_be_up() {
-    let mut t = Scenario::new(0.0);
+fn new_leader_does_not_count_machines_past_their_provisioning_time_as_incoming() {
+    let mut sim = Simulation::new(0.0);
     let pool = Pool {
         machine_type: "rig".into(),
         zone: "a".into(),
         spot: true,
     };
-    let rents = |t: &mut Scenario, age: u64| {
-        t.take_over(later(t.s.token(), 1));
-        t.s.on_list(&[], t.now);
-        let noted = [MachineId("m-1".into())];
-        t.s.inherit_provisioned(&pool, &noted, Micros::secs(age), t.now);
-        t.wait(6);
-        t.s.plan_fleet(t.now, 0).provision.len()
+    let scale_out_requests = |sim: &mut Simulation, age_s: u64| {
+        sim.change_leader(token_after(sim.scheduler.token(), 1));
+        sim.scheduler.on_list(&[], sim.now);
+        let recorded = [MachineId("m-1".into())];
+        sim.scheduler
+            .inherit_provisioned(&pool, &recorded, Micros::secs(age_s), sim.now);
+        sim.advance(6);
+        sim.scheduler.plan_fleet(sim.now, 0).provision.len()
     };
-    t.submit(spec("j-1", 2));
-    assert_eq!(rents(&mut t, 10), 0, "it boots");
-    assert_eq!(rents(&mut t, 80), 1, "it is not there, or stuck");
+    sim.submit(spec("j-1", 2));
+    assert_eq!(
+        scale_out_requests(&mut sim, 10),
+        0,
+        "the machine is being provisioned"
+    );
+    assert_eq!(
+        scale_out_requests(&mut sim, 80),
+        1,
+        "the machine is missing or stuck"
+    );
 }
 
-// Guards against a new leader that takes what the one before gave back for boots that are late, as on the incident inc-f66a:
-// it then waits for other late machines of these zones, and rents elsewhere first.
+// Prevents a new leader from counting machines that the earlier leader terminated as late, as in incident inc-f66a: it
+// would then wait longer for other late machines of these zones, and prefer other zones for scale-out.
 #[test]
-fn what_an_earlier_leader_provisioned_and_the_list_lacks_is_no_late_boot() {
-    let mut t = Scenario::new(0.0);
+fn unlisted_machines_of_an_earlier_leader_do_not_count_as_late() {
+    let mut sim = Simulation::new(0.0);
     let pool = Pool {
         machine_type: "rig".into(),
         zone: "a".into(),
         spot: true,
     };
-    let noted: Vec<MachineId> = (0..4).map(|i| MachineId(format!("m-{i}"))).collect();
-    t.take_over(later(t.s.token(), 1));
-    t.s.inherit_provisioned(&pool, &noted, Micros::secs(69), t.now);
-    t.s.on_list(&[], t.now);
-    t.submit(spec("j-1", 2));
-    let mut rented = 0;
+    let recorded: Vec<MachineId> = (0..4).map(|i| MachineId(format!("m-{i}"))).collect();
+    sim.change_leader(token_after(sim.scheduler.token(), 1));
+    sim.scheduler
+        .inherit_provisioned(&pool, &recorded, Micros::secs(69), sim.now);
+    sim.scheduler.on_list(&[], sim.now);
+    sim.submit(spec("j-1", 2));
+    let mut request_count = 0;
     for _ in 0..24 {
-        t.wait(1);
-        rented += t.s.plan_fleet(t.now, 0).provision.len();
+        sim.advance(1);
+        request_count += sim.scheduler.plan_fleet(sim.now, 0).provision.len();
     }
-    assert!(rented > 0, "nothing comes");
-    assert_eq!(t.s.machines.values().filter(|m| !m.is_gone).count(), 0);
-    let notes = t.info_lines();
+    assert!(request_count > 0, "nothing is provisioned");
+    assert_eq!(
+        sim.scheduler
+            .machines
+            .values()
+            .filter(|m| !m.is_gone)
+            .count(),
+        0
+    );
+    let lines = sim.info_lines();
     assert!(
-        notes.iter().any(|n| n.contains("why=lost")),
-        "they are dropped: {notes:?}"
+        lines.iter().any(|line| line.contains("why=lost")),
+        "the machines are removed: {lines:?}"
     );
     assert!(
-        !notes.iter().any(|n| n.contains("provisioning_slow")),
-        "{notes:?}"
+        !lines.iter().any(|line| line.contains("provisioning_slow")),
+        "{lines:?}"
     );
 }
 
-// Guards against a job said to be done too early, or run again, because its tasks end under one leader each.
+// Prevents a job whose tasks each end under a different leader from completing too early or running again.
 #[test]
-fn tasks_that_end_far_apart_over_changes_of_leader_are_done_once_all_are() {
-    let mut t = Scenario::new(0.0);
+fn job_whose_tasks_end_under_different_leaders_completes_once_all_tasks_have() {
+    let mut sim = Simulation::new(0.0);
     for i in 0..3 {
-        t.worker(&format!("m-{i}"), "a", false);
+        sim.add_worker(&format!("m-{i}"), "a", false);
     }
     let large = JobSpec {
         accelerators: 2.0,
         ..spec("j-1", 3)
     };
-    let job = t.submit(large);
-    t.round();
-    t.beat_all();
-    assert_eq!(t.running(), 3);
+    let job = sim.submit(large);
+    sim.run_cycle_and_commit();
+    sim.heartbeat_all();
+    assert_eq!(sim.running(), 3);
     for i in 0..3 {
-        assert!(!t.done.contains(&job), "{i} of 3 are finished");
-        let worker = t.workers.get_mut(&format!("m-{i}")).expect("a worker");
+        assert!(
+            !sim.done.contains(&job),
+            "only {i} of 3 tasks have finished"
+        );
+        let worker = sim.workers.get_mut(&format!("m-{i}")).expect("a worker");
         worker.exit_all(ExitCause::Done);
-        t.beat_all();
-        assert_eq!(t.running(), 2 - i, "nothing runs again");
+        sim.heartbeat_all();
+        assert_eq!(sim.running(), 2 - i, "no task runs again");
         if i < 2 {
-            t.take_over(later(t.s.token(), 1));
-            t.beat_all();
-            t.wait(30);
-            t.beat_all();
+            sim.change_leader(token_after(sim.scheduler.token(), 1));
+            sim.heartbeat_all();
+            sim.advance(30);
+            sim.heartbeat_all();
         }
     }
-    assert!(t.done.contains(&job));
+    assert!(sim.done.contains(&job));
 }
 
-// Guards against a recovery of which nobody can tell how far it is: what no worker has confirmed is counted until it is.
+// The log must show how far a recovery has progressed: placements count as unconfirmed until they are resolved.
 #[test]
-fn a_new_leader_logs_what_it_has_confirmed_and_what_not_yet() {
-    let mut t = Scenario::new(0.0);
+fn new_leader_logs_how_many_placements_are_confirmed_and_unconfirmed() {
+    let mut sim = Simulation::new(0.0);
     for name in ["m-1", "m-2", "m-3"] {
-        t.worker(name, "a", false);
+        sim.add_worker(name, "a", false);
     }
-    t.submit(JobSpec {
+    sim.submit(JobSpec {
         accelerators: 2.0,
         ..spec("j-1", 3)
     });
-    t.round();
-    t.beat_all();
-    t.beat_all();
-    assert_eq!(t.running(), 3);
-    t.take_over(later(TOKEN, 1));
-    let told = |t: &mut Scenario| {
-        t.s.plan_fleet(t.now, 0);
-        let notes = t.info_lines();
-        let about = notes.into_iter().filter(|n| n.contains("=recovery_"));
-        about.collect::<Vec<String>>().join("\n")
+    sim.run_cycle_and_commit();
+    sim.heartbeat_all();
+    sim.heartbeat_all();
+    assert_eq!(sim.running(), 3);
+    sim.change_leader(token_after(TOKEN, 1));
+    let recovery_lines = |sim: &mut Simulation| {
+        sim.scheduler.plan_fleet(sim.now, 0);
+        let lines = sim.info_lines();
+        let matching_lines = lines.into_iter().filter(|line| line.contains("=recovery_"));
+        matching_lines.collect::<Vec<String>>().join("\n")
     };
-    assert!(told(&mut t).contains("recovery_started token=8 recorded=3"));
-    // One agrees, one has ended; the third says nothing.
-    t.beat("m-1");
-    let worker = t.workers.get_mut("m-2").expect("a worker");
+    assert!(recovery_lines(&mut sim).contains("recovery_started token=8 recorded=3"));
+    // One placement is confirmed, one task has ended, and the third machine does not report.
+    sim.heartbeat("m-1");
+    let worker = sim.workers.get_mut("m-2").expect("a worker");
     worker.exit_all(ExitCause::Done);
-    t.beat("m-2");
-    t.wait(10);
-    let line = told(&mut t);
+    sim.heartbeat("m-2");
+    sim.advance(10);
+    let line = recovery_lines(&mut sim);
     assert!(
         line.contains("recovery_progress token=8 unconfirmed=1 agreed=1 ended=1"),
         "{line}"
     );
-    t.s.on_terminated(&[MachineId("m-3".into())], t.now);
-    let line = told(&mut t);
+    sim.scheduler
+        .on_terminated(&[MachineId("m-3".into())], sim.now);
+    let line = recovery_lines(&mut sim);
     assert!(
         line.contains("recovery_completed token=8 recorded=3"),
         "{line}"
@@ -298,57 +330,68 @@
         line.contains("agreed=1 ended=1 gone=0 machine_returned=1"),
         "{line}"
     );
-    assert_eq!(told(&mut t), "");
+    assert_eq!(recovery_lines(&mut sim), "");
 }
 
-// Guards against two workers that claim one task after a loss, whose records lack what was placed last.
+// After a loss of stored state, the records may lack the latest placements, so two workers may report the same task.
 #[test]
-fn after_a_loss_the_higher_attempt_of_a_task_counts_and_nothing_is_offered_before_all_were_heard() {
-    let mut t = Scenario::new(0.0);
+fn after_a_loss_the_higher_attempt_is_kept_and_offers_wait_until_all_machines_report() {
+    let mut sim = Simulation::new(0.0);
     for name in ["m-1", "m-2", "m-3"] {
-        t.worker(name, "a", false);
+        sim.add_worker(name, "a", false);
     }
-    let id = t.submit(spec("j-1", 3));
-    t.round();
-    t.beat_all();
-    let reserved = |t: &Scenario, name: &str| t.s.machines[&MachineId(name.into())].reserved.len();
-    assert_eq!((reserved(&t, "m-1"), reserved(&t, "m-2")), (2, 1));
-    // The records are from before the first task was lost and placed again on another machine, which runs it.
-    let run = |t: &mut Scenario, name: &str, attempt: u64| {
-        let worker = t.workers.get_mut(name).expect("a worker");
+    let job_id = sim.submit(spec("j-1", 3));
+    sim.run_cycle_and_commit();
+    sim.heartbeat_all();
+    let reserved = |sim: &Simulation, name: &str| {
+        sim.scheduler.machines[&MachineId(name.into())]
+            .reserved
+            .len()
+    };
+    assert_eq!((reserved(&sim, "m-1"), reserved(&sim, "m-2")), (2, 1));
+    // The records date from before the first task was lost and placed again on another machine, which runs it.
+    let run = |sim: &mut Simulation, name: &str, attempt: u64| {
+        let worker = sim.workers.get_mut(name).expect("a worker");
         let running = (TaskState::Running, None);
         worker.tasks.insert(("j-1/0".into(), attempt), running);
     };
-    run(&mut t, "m-3", 7);
-    t.take_over(later(TOKEN, 1));
-    t.s.begin_rebuild(1, t.now);
-    t.submit(spec("j-2", 1));
-    let begun = t.now;
+    run(&mut sim, "m-3", 7);
+    sim.change_leader(token_after(TOKEN, 1));
+    sim.scheduler.begin_rebuild(1, sim.now);
+    sim.submit(spec("j-2", 1));
+    let list_requested_at = sim.now;
     for _ in 0..2 {
-        t.wait(3);
+        sim.advance(3);
         for name in ["m-1", "m-3"] {
-            t.beat(name);
+            sim.heartbeat(name);
         }
     }
-    let placed = |t: &Scenario| {
-        t.s.jobs[&id]
+    let placement_of_first_task = |sim: &Simulation| {
+        sim.scheduler.jobs[&job_id]
             .placement(0)
             .map(|p| (p.machine.0.clone(), p.attempt))
     };
-    assert_eq!(placed(&t), Some(("m-3".into(), 7)));
-    let first = &t.workers["m-1"].tasks[&("j-1/0".into(), 1)];
-    assert_eq!(first.0, TaskState::Exited, "the lower attempt is stopped");
-    // One machine was not heard, and the list is too old to tell of all there are.
-    t.s.on_list(&[], begun);
-    assert!(!t.s.check_rebuild(t.now));
-    t.round();
-    assert_eq!(t.s.jobs[&JobId("j-2".into())].live, 0);
-    assert_eq!(t.s.plan_fleet(t.now, 1_000_000_000), FleetPlan::default());
-    t.beat("m-2");
-    t.beat("m-2");
-    assert!(!t.s.check_rebuild(t.now));
-    t.wait(20);
-    t.beat_all();
+    assert_eq!(placement_of_first_task(&sim), Some(("m-3".into(), 7)));
+    let lower_attempt = &sim.workers["m-1"].tasks[&("j-1/0".into(), 1)];
+    assert_eq!(
+        lower_attempt.0,
+        TaskState::Exited,
+        "the lower attempt is stopped"
+    );
+    // One machine has not reported, and the machine list is too old to contain all machines.
+    sim.scheduler.on_list(&[], list_requested_at);
+    assert!(!sim.scheduler.check_rebuild(sim.now));
+    sim.run_cycle_and_commit();
+    assert_eq!(sim.scheduler.jobs[&JobId("j-2".into())].live, 0);
+    assert_eq!(
+        sim.scheduler.plan_fleet(sim.now, 1_000_000_000),
+        FleetPlan::default()
+    );
+    sim.heartbeat("m-2");
+    sim.heartbeat("m-2");
+    assert!(!sim.scheduler.check_rebuild(sim.now));
+    sim.advance(20);
+    sim.heartbeat_all();
     let list = ["m-1", "m-2", "m-3"].map(|name| ListedMachine {
         machine: MachineId(name.into()),
         machine_type: "rig".into(),
@@ -357,15 +400,12 @@
         status: ListedStatus::Running,
         age_s: 60.0,
     });
-    t.s.on_list(&list, t.now);
-    assert!(t.s.check_rebuild(t.now));
-    t.wait(1);
-    t.round();
-    let job = &t.s.jobs[&JobId("j-2".into())];
+    sim.scheduler.on_list(&list, sim.now);
+    assert!(sim.scheduler.check_rebuild(sim.now));
+    sim.advance(1);
+    sim.run_cycle_and_commit();
+    let job = &sim.scheduler.jobs[&JobId("j-2".into())];
     assert_eq!(job.live, 1);
     let attempt = job.placement(0).map_or(0, |p| p.attempt);
-    assert!(
-        attempt >= 1 << 32,
-        "above all that were given out before: {attempt}"
-    );
+    assert!(attempt >= 1 << 32, "above all earlier attempts: {attempt}");
 }
