--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -48,7 +48,8 @@
 fn set_leader_in_view(controller: &Controller, node: &str) {
     let record = serde_json::json!({"node": node, "incarnation": 1, "lease": 1});
     let mut view = controller.shared.store.view.borrow_mut();
-    view.put("r/leader", record, Revision(7)).expect("a leader");
+    view.put("r/leader", record, Revision(7))
+        .expect("a valid leader record");
 }
 
 // Without a redirect, workers stay with an isolated controller while others could serve them. The redirect must not
@@ -146,15 +147,15 @@
         .map(|job| serde_json::json!({"take": format!("{job}/0"), "try": 2, "status": "running"}));
     let body = serde_json::json!({"host": "m-1", "endpoint": "e", "rig": "rig", "yard": "b", "loaners": false,
         "watch": 1, "tally": sequence, "warrant": token, "takes": tasks.collect::<Vec<_>>()});
-    let call = HttpRequest {
+    let request = HttpRequest {
         method: Method::Post,
         path: "/checkin".into(),
         query: String::new(),
         body: body.to_string().into(),
     };
-    let reply = async_io::block_on(controller.route(call));
-    let body = serde_json::from_slice(&reply.body).expect("JSON");
-    (reply.status, body)
+    let response = async_io::block_on(controller.route(request));
+    let body = serde_json::from_slice(&response.body).expect("JSON");
+    (response.status, body)
 }
 
 fn receive_cancellation(controller: &Rc<Controller>, job: &str) {
@@ -183,9 +184,9 @@
     record_all_peers_reachable(&controller);
     set_leader_in_view(&controller, "n-2");
     receive_cancellation(&controller, "j-1");
-    let (status, answer) = post_heartbeat(&controller, 1, 7, &["j-1", "j-2"]);
-    assert_eq!((status, &answer["warrant"]), (200, &serde_json::json!(7)));
-    assert_eq!(answer["orders"], stop_order("j-1"));
+    let (status, response) = post_heartbeat(&controller, 1, 7, &["j-1", "j-2"]);
+    assert_eq!((status, &response["warrant"]), (200, &serde_json::json!(7)));
+    assert_eq!(response["orders"], stop_order("j-1"));
     // An aborted job in the view has the same effect as a cancellation from a peer; the other job is not stopped.
     let end = serde_json::json!({"how": "aborted", "at": 1, "done": 0});
     let put = controller
@@ -194,7 +195,7 @@
         .view
         .borrow_mut()
         .put("r/end/j-1", end, Revision(8));
-    put.expect("an end");
+    put.expect("a valid end record");
     assert_eq!(
         post_heartbeat(&controller, 2, 7, &["j-2", "j-1"]).1["orders"],
         stop_order("j-1")
@@ -218,8 +219,8 @@
         .set_own_term(Some(term.token()));
     controller.shared.current_term.set(Some(term));
     receive_cancellation(&controller, "j-1");
-    let (_, answer) = post_heartbeat(&controller, 1, 7, &["j-1", "j-2"]);
-    assert_eq!(answer["orders"], stop_order("j-1"));
+    let (_, response) = post_heartbeat(&controller, 1, 7, &["j-1", "j-2"]);
+    assert_eq!(response["orders"], stop_order("j-1"));
     controller.shared.store.mark_unreachable_for_test();
     assert_eq!(
         post_heartbeat(&controller, 2, 7, &["j-2"]).0,
@@ -233,8 +234,8 @@
         200,
         "the heartbeat is answered before the worker is redirected"
     );
-    let (status, answer) = post_heartbeat(&controller, 4, 7, &["j-2"]);
-    assert_eq!((status, answer["muster"].as_str()), (421, Some("n-0")));
+    let (status, response) = post_heartbeat(&controller, 4, 7, &["j-2"]);
+    assert_eq!((status, response["muster"].as_str()), (421, Some("n-0")));
 }
 
 // User connections must not use up the sockets when all workers of the fleet report to one controller.
@@ -249,23 +250,23 @@
             open.push(controller.connections.accept().expect("a free socket"));
         }
     };
-    let call = |method, path: &str| HttpRequest {
+    let request = |method, path: &str| HttpRequest {
         method,
         path: path.into(),
         query: String::new(),
         body: Vec::new(),
     };
-    let closes = |call| async_io::block_on(controller.route(call)).close;
-    assert!(!closes(call(Method::Get, "/ready")));
+    let closes = |request| async_io::block_on(controller.route(request)).close;
+    assert!(!closes(request(Method::Get, "/ready")));
     // User connections are closed first, since users reconnect through the load balancer.
     hold(max * 3 / 4 + 1);
-    assert!(closes(call(Method::Get, "/ready")));
-    assert!(!closes(call(Method::Post, "/checkin")));
+    assert!(closes(request(Method::Get, "/ready")));
+    assert!(!closes(request(Method::Post, "/checkin")));
     // With fewer sockets than workers, worker connections are closed as well: each heartbeat uses a new connection.
     hold(max);
-    assert!(closes(call(Method::Get, "/ready")));
-    assert!(closes(call(Method::Post, "/checkin")));
+    assert!(closes(request(Method::Get, "/ready")));
+    assert!(closes(request(Method::Post, "/checkin")));
     hold(max / 2);
-    assert!(!closes(call(Method::Get, "/ready")));
-    assert!(!closes(call(Method::Post, "/checkin")));
+    assert!(!closes(request(Method::Get, "/ready")));
+    assert!(!closes(request(Method::Post, "/checkin")));
 }
--- a/src/fencing.rs
+++ b/src/fencing.rs
@@ -1,4 +1,4 @@
-//! The fencing token, by which agents and controllers reject commands of a deposed leader.
+//! The fencing token, by which workers and controllers reject commands of a deposed leader.
 
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
@@ -6,8 +6,8 @@
 
 /// The number of a leader term; a newer term has a higher token.
 ///
-/// It is the version of the leader key, plus a base after a loss of stored state. Agents discard answers with a token
-/// lower than the highest they have received. In JSON and in frames it is a plain number.
+/// It is the version of the leader key, plus a base after a loss of stored state. Workers discard responses with a
+/// token lower than the highest they have received. In JSON and in frames it is a plain number.
 #[derive(
     Debug,
     Clone,
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -61,8 +61,8 @@
     /// Runs all duties of the term until it ends; returns the reason.
     ///
     /// All duties are cancelled together, at whichever await point they are. A request in flight may still take effect,
-    /// which is safe: writes are conditional on the leader key, and commands are sent only in answers to heartbeats,
-    /// which check the lease.
+    /// which is safe: writes are conditional on the leader key, and commands are sent only in responses to
+    /// heartbeats, which check the lease.
     async fn run_term(&self, term: &LeaderTerm) -> TermEnd {
         // The leader makes most reads and writes, so it gets half of the request budget.
         let limits = &self.platform.facts.state;
--- a/src/leader/commit.rs
+++ b/src/leader/commit.rs
@@ -20,7 +20,7 @@
     pub(super) term: &'a LeaderTerm,
 }
 
-/// A batch that is being written, with what must stay the same when it is sent again.
+/// A batch that is being written, with the state that its transmissions share.
 struct PendingBatch<'b> {
     batch: &'b [Write],
     /// The Unix time in microseconds that is stored in its records.
--- a/src/leader/inventory.rs
+++ b/src/leader/inventory.rs
@@ -18,8 +18,9 @@
 /// Reads of the machine list that take longer are logged, because machines that failed are then detected late.
 const SLOW_MACHINE_LIST: Micros = Micros::secs(15);
 /// The pause between two reads of the machine list is the time in which the cloud admits this many requests, but at
-/// least the following number of seconds.
+/// least [`MIN_LIST_INTERVAL_S`].
 const REQUESTS_PER_LIST: f64 = 4.0;
+/// Minimum pause between two reads of the machine list in seconds.
 const MIN_LIST_INTERVAL_S: f64 = 2.0;
 
 /// Updates the scheduler of a leader term with the machines and machine types of the cloud.
@@ -56,7 +57,7 @@
             .borrow_mut()
             .set_machine_types(machine_types);
         let stored = self.store.view.borrow().machine_types.clone();
-        if stored.is_some_and(|k| is_equal_ignoring_prices(&k.value, machine_types)) {
+        if stored.is_some_and(|s| is_equal_ignoring_prices(&s.value, machine_types)) {
             return MACHINE_TYPES_INTERVAL;
         }
         let put = StoreKey::MachineTypes.put(&machine_types);
@@ -100,10 +101,10 @@
 /// Returns whether the machine types are equal apart from their prices, which change often and are not needed from the
 /// key-value store.
 fn is_equal_ignoring_prices(a: &[MachineType], b: &[MachineType]) -> bool {
-    let without_prices = |f: &MachineType| MachineType {
+    let without_prices = |t: &MachineType| MachineType {
         price: 0.0,
         spot_price: 0.0,
-        ..f.clone()
+        ..t.clone()
     };
     a.iter()
         .map(without_prices)
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -18,7 +18,7 @@
 const PROVISIONING_RETRY: Micros = Micros::secs(1);
 /// Maximum number of tries to store provisioning records, which compete with all other writes for the write budget.
 const MAX_RECORD_ATTEMPTS: usize = 8;
-/// How long a provisioning record is kept at least for the next leader, unless no machine of it remains.
+/// Minimum time for which a provisioning record is kept for the next leader, unless none of its machines remains.
 const PROVISIONING_RECORD_RETENTION: Micros = Micros::secs(90);
 
 /// Carries out the scale-out of a leader term.
@@ -32,7 +32,7 @@
 }
 
 impl Provisioner<'_> {
-    /// Sends the requests of earlier leaders again whose answers were not stored; the cloud provisions each request
+    /// Sends requests of earlier leaders again if their answers were not stored; the cloud provisions each request
     /// once.
     pub(super) async fn resume(&self) {
         let unanswered: Vec<ProvisioningRequest> = self
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -44,7 +44,7 @@
     own_term: Cell<Option<FencingToken>>,
     /// The highest fencing token reported by any peer.
     highest_peer_token: Cell<FencingToken>,
-    /// When a peer last reported that it can't reach another controller.
+    /// When a peer last reported that it can't reach another controller; zero if none has.
     partition_reported_at: Cell<Micros>,
     peer_statuses: RefCell<BTreeMap<String, PeerStatus>>,
     /// Peers to which nothing is relayed, with the time at which relaying resumes.
@@ -234,7 +234,7 @@
         })
     }
 
-    /// Returns a random reachable peer in the zone.
+    /// Returns a random reachable peer in the zone, or `None` if there is none.
     pub fn peer_in_zone(&self, zone: &str) -> Option<String> {
         let zone_members: Vec<&Member> = self
             .members
--- a/src/pause_detector/tests.rs
+++ b/src/pause_detector/tests.rs
@@ -11,7 +11,7 @@
     }
 }
 
-// Prevents one pause from being applied twice to the heartbeat times of machines.
+// A pause that is reported twice would be applied twice to the heartbeat times of machines.
 #[test]
 fn a_pause_is_reported_once_with_its_length() {
     let detector = PauseDetector::new("n-1", Micros::secs(10));
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -50,9 +50,9 @@
 
     /// Sends a request and waits up to `time_limit` for the reply.
     ///
-    /// If the exchange on an idle connection fails, the request is sent again on a new connection, because the peer may
-    /// only have closed the idle one. It may then process the request twice, which is harmless for heartbeats and
-    /// pings.
+    /// If the exchange on an idle connection fails, the request is sent again on a new connection, because the reason
+    /// may only be that the peer has closed the idle one. The peer may then process the request twice, which is
+    /// harmless for heartbeats and pings.
     pub async fn call(
         &self,
         cluster_status: ClusterStatus,
--- a/src/peer/messages.rs
+++ b/src/peer/messages.rs
@@ -16,7 +16,7 @@
     pub leader: Option<String>,
     /// Whether the sender reaches the key-value store.
     pub state_reachable: bool,
-    /// Whether at least one other controller does not answer the sender.
+    /// Whether at least one other controller does not answer the sender's pings.
     pub peer_unreachable: bool,
     /// Random number that identifies the sender's process.
     pub incarnation: u64,
@@ -34,7 +34,7 @@
         /// Machines that no longer run tasks of a cancelled job.
         cleared: Vec<ResidueCleared>,
     },
-    /// A worker's heartbeat, relayed to be answered by the leader.
+    /// A worker's heartbeat, relayed so that the leader can respond to it.
     Heartbeat {
         /// Whether the receiver may relay the heartbeat once more.
         relay: bool,
@@ -50,11 +50,11 @@
 pub enum PeerReply {
     /// The answer to a ping; the frame's cluster status is its content.
     Pong,
-    /// The leader's answer to a heartbeat.
+    /// The leader's response to a heartbeat.
     Answer {
         /// The fencing token of the leader's term.
         token: FencingToken,
-        /// The commands for the worker's agent.
+        /// The commands for the worker.
         commands: Vec<AgentCommand>,
     },
     /// The leader is unknown or could not be reached.
--- a/src/scheduler/failure_detection/controllers.rs
+++ b/src/scheduler/failure_detection/controllers.rs
@@ -78,7 +78,7 @@
         !self.unreachable.is_empty()
     }
 
-    /// Returns whether a machine's worker may have to try more than one controller to get an answer.
+    /// Returns whether a machine's worker may have to try more than one controller to get a response.
     pub(super) fn is_path_impaired(&self, m: &Machine) -> bool {
         self.several_unreachable_at.is_some()
             || self.degraded_zones.contains_key(&m.zone)
--- a/src/scheduler/failure_detection/loss.rs
+++ b/src/scheduler/failure_detection/loss.rs
@@ -16,7 +16,7 @@
 /// Losses found at the same time are logged in the order of these variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LossCause {
-    /// Its heartbeats arrive, but they acknowledge none of the leader's answers.
+    /// Its heartbeats arrive, but they acknowledge none of the leader's responses.
     InboundUnreachable,
     /// The cloud's machine list shows it as failed or no longer has it.
     Gone,
@@ -57,7 +57,7 @@
     }
 
     /// Records the failure of a machine if its cause is a heartbeat timeout. Returns the cause, refined to
-    /// [`LossCause::InboundUnreachable`] if its heartbeats still arrive but acknowledge no answers.
+    /// [`LossCause::InboundUnreachable`] if its heartbeats still arrive but acknowledge no responses.
     pub(super) fn record(&mut self, m: &Machine, cause: LossCause, now: Micros) -> LossCause {
         if cause != LossCause::HeartbeatTimeout {
             return cause;
--- a/src/scheduler/failure_detection/mod.rs
+++ b/src/scheduler/failure_detection/mod.rs
@@ -12,14 +12,15 @@
 //!   controller, zone or path is impaired, because workers need time to reconnect to another controller.
 //! - **Partition**: many machines of a zone or of a controller are suspected at the same time, or the controller of a
 //!   machine is itself unreachable. Suspicion is then *suppressed*, or termination waits for the workers' leases to
-//!   end.
+//!   expire.
 //! - **Failure**: a suspicion that no partition explains. The machine is terminated.
 //!
 //! Invariants:
 //!
 //! - The detector never releases a task. It selects machines to terminate; their tasks run elsewhere only after the
 //!   cloud has confirmed the termination.
-//! - It reads no clock: every observation is passed the current time and expires on its own.
+//! - It reads no clock: the caller passes the current time with every observation, and each observation expires on its
+//!   own.
 //! - It never modifies a machine, except for the time at which suspicion of it was last suppressed.
 
 mod controllers;
@@ -39,7 +40,7 @@
 use paths::HeartbeatPaths;
 use std::collections::BTreeMap;
 
-/// Time in which a worker gives up on a controller that does not answer and tries the next one.
+/// Time after which a worker gives up on a controller that does not respond and tries the next one.
 const WORKER_RECONNECT_TIME: Micros = Micros::secs(5);
 /// Maximum time until another controller has reported its contact with a machine to the leader.
 const CONTACT_REPORT_DELAY: Micros = Micros::secs(2);
@@ -58,7 +59,7 @@
     heartbeat: Micros,
     /// Time since the last contact by which a worker that failed to reach two controllers has reached a third.
     two_reconnects: Micros,
-    /// Time since the last contact by which the lease of a worker that gets no answers has expired, and its tasks are
+    /// Time since the last contact by which the lease of a worker that gets no responses has expired, and its tasks are
     /// stopped.
     lease_expiry: Micros,
 }
@@ -132,8 +133,8 @@
         self.failure_detector.controllers.reset_stability();
     }
 
-    /// Returns whether a worker that has just sent a heartbeat to this controller should be redirected to another one,
-    /// and if so takes it from the number of redirects allowed before the next fleet plan.
+    /// Returns whether a worker that has just sent a heartbeat to this controller should be redirected to another one.
+    /// If so, the number of redirects that are allowed before the next fleet plan is decremented.
     pub fn take_redirect(&mut self) -> bool {
         self.failure_detector.take_redirect()
     }
--- a/src/scheduler/failure_detection/paths.rs
+++ b/src/scheduler/failure_detection/paths.rs
@@ -3,12 +3,12 @@
 use super::{Machine, Machines, Micros, PARTITION_HOLD_DOWN, Timeouts};
 use std::collections::BTreeMap;
 
-/// A path is stopped when no heartbeat has arrived on it for longer than the sum of this and
-/// [`STOPPED_AFTER_ARRIVALS`] mean times between its heartbeats.
+/// A path is stopped when no heartbeat has arrived on it for longer than this plus [`STOPPED_AFTER_ARRIVALS`] times the
+/// mean time between its heartbeats.
 const STOPPED_AFTER: Micros = Micros::secs(1);
-/// Mean times between the heartbeats of a path that are added to [`STOPPED_AFTER`].
+/// Multiple of the mean time between the heartbeats of a path that is added to [`STOPPED_AFTER`].
 const STOPPED_AFTER_ARRIVALS: u64 = 8;
-/// How long a zone still counts as unreachable when no monitored machine is left in it.
+/// How long a zone still counts as unreachable once it contains no monitored machine.
 const ZONE_HOLD_DOWN: Micros = Micros::secs(30);
 
 /// Paths that are or recently were stopped, and zones that are or recently were unreachable.
--- a/src/scheduler/failure_detection/suspicion.rs
+++ b/src/scheduler/failure_detection/suspicion.rs
@@ -32,7 +32,8 @@
     }
 }
 
-/// Returns the suspects that count as failed.
+/// Returns the suspects that count as failed: those whose lack of contact no partition explains, those that the cloud
+/// has preempted, and those whose worker's lease has expired.
 ///
 /// Without these conditions, a partition or an impaired controller would be mistaken for machine failures. When many
 /// machines of a zone or of the fleet are suspected at once, they are terminated only after the workers' leases have
@@ -86,8 +87,9 @@
 
     /// Returns how long a machine may be without contact before it is suspected.
     ///
-    /// A worker whose controller is unreachable needs time to reconnect to another one. If the path from its zone is
-    /// stopped, or two controllers are unreachable, it may have to try two controllers before it reaches a third.
+    /// A worker whose controller is unreachable needs time to reconnect to another one. If its path is stopped, or
+    /// several controllers, its own one or one in its zone are or recently were unreachable, it may have to try two
+    /// controllers before it reaches a third.
     fn grace_period(&self, m: &Machine) -> Micros {
         let t = &self.timeouts;
         let controllers = &self.detector.controllers;
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -95,8 +95,8 @@
         terminating.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Records a machine's type, zone and kind. If its zone changes, also moves its tasks in their jobs' counts by
-    /// zone.
+    /// Records a machine's type, its zone and whether it is a spot machine. If its zone changes, its tasks move to the
+    /// new zone in their jobs' counts by zone.
     pub(super) fn observe_machine(
         &mut self,
         id: &MachineId,
@@ -262,8 +262,8 @@
             }
         }
         for (id, m) in &mut self.machines {
-            // A list may be older than the one before it, by at most twice the lag. Only a machine older than that is
-            // known to be gone if the list does not contain it.
+            // A list may be older than the one before it, by at most twice the lag. A machine that the list does not
+            // contain is known to be gone only if it is older than that, with a margin.
             let is_old_enough =
                 requested_at.since(m.provisioned_at) > lag.scaled(3, 1) + Micros::secs(1);
             // Without this, a new leader would take machines that the earlier one provisioned and terminated for
@@ -304,7 +304,7 @@
         overdue.into_keys().collect()
     }
 
-    /// Marks drained machines for termination, and machines that were idle long enough as far as the reserve keeps its
+    /// Marks drained machines for termination, and machines that were idle long enough unless the reserve needs their
     /// free places. Considers on-demand machines before spot machines, and higher ids before lower ones.
     fn scale_in_idle(&mut self, reserve: Option<&Reserve>, now: Micros) {
         let mut surplus_places = match reserve {
@@ -382,7 +382,7 @@
     }
 
     /// Returns the number of tasks of a job that would fit on a machine, at most 1000. It is zero if the job may not
-    /// use machines of this type, zone and kind.
+    /// use the machine's pool.
     pub(super) fn places_on(&self, m: &Machine, spec: &JobSpec) -> usize {
         if !spec.allows(&m.machine_type, &m.zone, m.spot) {
             return 0;
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -7,9 +7,9 @@
 use ravenhead_recovery::HeartbeatPosition;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Number of consecutive unacknowledged answers after which a machine gets no more offers.
+/// Number of consecutive unacknowledged responses after which a machine gets no more offers.
 const INBOUND_SUSPECT_AFTER: u32 = 2;
-/// Number of consecutive unacknowledged answers after which a machine's heartbeats no longer show that it is alive.
+/// Number of consecutive unacknowledged responses after which a machine's heartbeats no longer show that it is alive.
 const INBOUND_UNREACHABLE_AFTER: u32 = 3;
 /// Maximum number of tasks on one machine.
 ///
@@ -56,9 +56,10 @@
     pub exited: Vec<(TaskId, u64)>,
     /// Lifecycle state.
     pub state: MachineState,
-    /// Time when suspicion of it was last suppressed because of a partition.
+    /// Time when suspicion of it was last suppressed because of a partition or a pause of the leader's process; zero if
+    /// never.
     pub suspicion_suppressed_at: Micros,
-    /// Time when it was provisioned, or when this leader first knew of it if the former is not known.
+    /// Time when it was provisioned; if that is not known, when this leader first knew of it.
     pub provisioned_at: Micros,
     /// Position of its newest heartbeat; `None` until this leader has received one.
     pub newest_heartbeat: Option<HeartbeatPosition>,
@@ -80,7 +81,8 @@
     pub failed_jobs: BTreeSet<JobId>,
     /// Time since which no tasks are on it.
     pub idle_since: Option<Micros>,
-    /// Time when this leader received its newest heartbeat.
+    /// Time when this leader received its newest heartbeat; initially, when this leader first knew of the machine.
+    /// Pauses of the leader's process move it forward.
     pub last_heartbeat_at: Micros,
     /// Whether its heartbeats reach this leader, so that commands reach the machine. Contact with another controller is
     /// not enough.
@@ -91,11 +93,11 @@
     pub via: String,
     /// Whether this leader provisioned it, so that no heartbeat from it can be older than this leader term.
     pub is_provisioned_by_this_term: bool,
-    /// Number of consecutive heartbeats that do not acknowledge the answers before them.
+    /// Number of consecutive heartbeats that do not acknowledge the responses before them.
     pub unacknowledged_heartbeats: u32,
     /// Time when `unacknowledged_heartbeats` was last incremented.
     pub last_unacknowledged_at: Micros,
-    /// Commands in the newest answer, with their attempts and the effects that the next heartbeat should show.
+    /// Commands in the newest response, with their attempts and the effects that the next heartbeat should show.
     pub expected_effects: Vec<(TaskId, u64, ExpectedEffect)>,
 }
 
@@ -254,19 +256,20 @@
             && !self.is_inbound_suspect()
     }
 
-    /// Returns whether the leader's answers may not reach it although its heartbeats arrive. A single unacknowledged
-    /// answer is not enough, as answers can get lost.
+    /// Returns whether the leader's responses may not reach it although its heartbeats arrive. A single unacknowledged
+    /// response is not enough, as responses can get lost.
     pub fn is_inbound_suspect(&self) -> bool {
         self.unacknowledged_heartbeats >= INBOUND_SUSPECT_AFTER
     }
 
-    /// Returns whether the leader's answers do not reach it, in which case its heartbeats no longer show that it is
+    /// Returns whether the leader's responses do not reach it, in which case its heartbeats no longer show that it is
     /// alive.
     pub fn is_inbound_unreachable(&self) -> bool {
         self.unacknowledged_heartbeats >= INBOUND_UNREACHABLE_AFTER
     }
 
-    /// Returns whether a heartbeat shows an effect of the commands in the previous answer, or `None` if it had none.
+    /// Returns whether a heartbeat shows an effect of the commands in the response before it, or `None` if that
+    /// response contained none.
     pub fn acknowledges(&self, report: &TaskStatusIndex<'_>) -> Option<bool> {
         if self.expected_effects.is_empty() {
             return None;
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -13,10 +13,10 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Maximum number of planning steps for waiting tasks, each of which assigns tasks to one machine. The limit is
-/// [`MAX_PLAN_STEPS_PER_MACHINE`] for each machine if that is more.
+/// Maximum number of planning steps for waiting tasks, each of which assigns tasks to one machine. For a large fleet it
+/// is [`MAX_PLAN_STEPS_PER_MACHINE`] for each machine if that is more.
 const MAX_PLAN_STEPS: usize = 10_000;
-/// Planning steps per machine that raise [`MAX_PLAN_STEPS`] for large fleets.
+/// Maximum number of planning steps per machine of a fleet for which this gives more than [`MAX_PLAN_STEPS`].
 const MAX_PLAN_STEPS_PER_MACHINE: usize = 4;
 /// Maximum number of waiting tasks for which no extra machines are provisioned, however few tasks are running.
 const RAMP_UP_THRESHOLD_TASKS: usize = 16;
@@ -64,11 +64,11 @@
 struct Bin {
     pool: Pool,
     free: Resources,
-    /// Number of tasks that it may still get, regardless of their size.
+    /// Number of tasks that may still be assigned to it, regardless of their size.
     slots: usize,
-    /// Whether this plan adds the machine, rather than it being provisioned already.
+    /// Whether this plan adds the machine; false if it exists or was requested before.
     is_new: bool,
-    /// Whether some of the free resources become available only when running tasks end that are not being stopped.
+    /// Whether some of the free resources become available only when running tasks end without being stopped.
     waits_for_tasks: bool,
 }
 
@@ -284,8 +284,8 @@
         }
     }
 
-    /// Returns whether the machine list has been read and every machine has reported that must be running, because it
-    /// is listed so or has tasks.
+    /// Returns whether the machine list has been read and every machine that must be running has reported. These are
+    /// the machines that are listed as running or have tasks placed on them.
     fn all_have_reported(&self) -> bool {
         let must_be_up = |m: &Machine| m.listed_running || !m.reserved.is_empty();
         let mut machines = self.machines.values();
@@ -293,7 +293,8 @@
             && machines.all(|m| m.state != MachineState::Provisioning || !must_be_up(m))
     }
 
-    /// Returns the jobs with waiting tasks in the order in which they are offered, without those that back off.
+    /// Returns the jobs with waiting tasks in the order in which they are offered, without those that back off for more
+    /// than two seconds.
     ///
     /// A job in a crash loop is included only if no machine accepts offers. Otherwise its next attempt is made on an
     /// existing machine, and nothing is provisioned for it.
@@ -379,7 +380,7 @@
         p.is_some_and(|p| p.stopping.is_some())
     }
 
-    /// Returns whether a task is expected to end within the limit, by the run time that its job's owner estimated.
+    /// Returns whether an array task is expected to end within `limit`, by the run time that its job's owner estimated.
     fn ends_within(&self, task: &TaskId, limit: Micros, now: Micros) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
@@ -389,7 +390,8 @@
         };
         let expected = Micros::from_secs_f64(job.spec.expected_run_s);
         let remaining = expected.since(now.since(since));
-        // A task that has run longer than estimated is expected to need another quarter of the estimate.
+        // Once an estimate is nearly used up or exceeded it says little, so a task is expected to run for at least
+        // another quarter of it.
         job.spec.shape == Shape::Array && remaining.max(expected.scaled(1, 4)) <= limit
     }
 
@@ -467,7 +469,8 @@
         Some(AssignedTasks { zone, tasks })
     }
 
-    /// Returns whether the start objective of the job's class, if it has one, is longer than two provisioning times.
+    /// Returns whether the start objective of the job's class is longer than twice the longest provisioning time. True
+    /// if the class has none.
     fn has_time_for_provisioning(&self, spec: &JobSpec) -> bool {
         let provisioning_time = self
             .machine_types
@@ -475,7 +478,7 @@
             .map(MachineType::provisioning_time)
             .max();
         let start_objective = self.config.max_start_delay.get(&spec.class);
-        start_objective.is_none_or(|w| provisioning_time.is_some_and(|t| *w > t.scaled(2, 1)))
+        start_objective.is_none_or(|max| provisioning_time.is_some_and(|t| *max > t.scaled(2, 1)))
     }
 
     /// Returns the pool with the lowest price per task of a job, and the resources of its machines. Among pools of
--- a/src/term.rs
+++ b/src/term.rs
@@ -17,7 +17,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Maximum time for which the answer to a heartbeat waits for a scheduling cycle.
+/// Maximum time for which the response to a heartbeat waits for a scheduling cycle.
 const CYCLE_TIMEOUT: Micros = Micros::millis(700);
 
 /// A leader term of this controller.
@@ -170,7 +170,7 @@
     }
 }
 
-/// Adds a job to the scheduler with its chunks and its end, if it has ended, from the view.
+/// Adds a job of the view to the scheduler, with its chunks and, if it has ended, its end.
 fn add_job(scheduler: &mut Scheduler, view: &View, id: &JobId, now: Micros) {
     if let Some(job) = view.jobs.get(id) {
         let chunks = view.chunks.get(id).into_iter().flatten();
