--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Creates a request for one pool with a unique name.
+    /// Creates a request for one pool, with a name that no other request of this or another leader term has.
     fn build_request(&self, part: &ScaleOutRequest) -> ProvisioningRequest {
         let number = self.term.provisioning_requests_sent.get();
         self.term.provisioning_requests_sent.set(number + 1);
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -22,7 +22,7 @@
 struct PeerStatus {
     cluster_status: ClusterStatus,
     received_at: Micros,
-    /// Whether a ping to the peer has failed since then.
+    /// Whether a ping to the peer has failed since `received_at`.
     has_failed: bool,
 }
 
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -13,8 +13,8 @@
 const INBOUND_UNREACHABLE_AFTER: u32 = 3;
 /// Maximum number of tasks on one machine.
 ///
-/// Keeps heartbeats, which take up to about 140 bytes per task, below the maximum length of a request body. A machine
-/// whose heartbeat was rejected for its length would lose its lease, and with it all of its tasks.
+/// Keeps heartbeats, which take up to about 140 bytes per task, below the maximum length of a request body. A worker
+/// whose heartbeats are rejected for their length would lose its lease, and with it all of its tasks.
 pub(super) const MAX_TASKS_PER_MACHINE: usize = 400;
 
 /// The name of a cached image and its size in GB.
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -205,7 +205,7 @@
             let spec = job.spec.clone();
             let need = spec.need();
             let planned = planned_use.entry(spec.team.clone()).or_default();
-            // If the zones of a job's tasks depend on each other, they are assigned one at a time.
+            // If the zones of a job's tasks depend on each other, the tasks are assigned one at a time.
             let max_per_step = if spec.together || spec.spread {
                 1
             } else {
@@ -319,8 +319,8 @@
                 .machine_types
                 .get(&m.machine_type)
                 .map_or(Micros::secs(60), MachineType::provisioning_time);
-            // A machine that has sent a heartbeat, but is not ready because none has acknowledged this leader yet, does
-            // so in its next heartbeat or no longer exists.
+            // A machine that has sent heartbeats, but is not ready because none of them contained this leader's fencing
+            // token, sends one that does within two heartbeat intervals or no longer exists.
             let reports_soon = m.newest_heartbeat.is_none()
                 || now.since(m.last_contact) < self.config.heartbeat_interval.scaled(2, 1);
             let is_provisioning = m.state == MachineState::Provisioning
