--- a/src/scheduler/scenarios/latency_sensitive.rs
+++ b/src/scheduler/scenarios/latency_sensitive.rs
@@ -1,12 +1,12 @@
-//! Many short tasks of several teams, and few writes.
+//! Latency-sensitive work: many short tasks of several teams, with a limited write rate.
 
-use super::{Scenario, TOKEN, runs, spec};
+use super::{Simulation, TOKEN, count_starts, spec};
 use crate::scheduler::{
     AgentCommand, ExitCause, JobSpec, MachineId, Priority, TaskState, TeamQuota, Write,
 };
 use crate::units::Micros;
 
-/// A job whose aims leave no time for a boot.
+/// Returns the spec of an urgent array whose deadline leaves no time to provision a machine.
 fn latency_sensitive(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         priority: Priority::Urgent,
@@ -17,32 +17,32 @@
     }
 }
 
-// Guards against two jobs that stop each other's tasks for ever, one by its rank and one by its team's guarantee, and
-// against small tasks that take, bit by bit, the room that is being made for a large one.
+// Prevents two jobs from preempting each other's tasks forever, one by its priority and one by its team's guarantee.
+// Also prevents small tasks from taking, bit by bit, the resources that are being freed for a large one.
 #[test]
-fn what_a_team_is_guaranteed_takes_the_room_made_for_it_and_keeps_it() {
-    let mut t = Scenario::new(0.0);
-    t.s.config.guarantee_start_delay = Some(Micros::secs(15));
-    for (name, cards) in [("owed", 2.0), ("borrows", 1.0)] {
-        let share = TeamQuota::new(0.0, 0.0, cards, 0.0);
-        t.s.teams.insert(name.into(), share);
+fn guaranteed_job_gets_and_keeps_the_resources_freed_for_it() {
+    let mut sim = Simulation::new(0.0);
+    sim.scheduler.config.guarantee_start_delay = Some(Micros::secs(15));
+    for (name, accelerators) in [("owed", 2.0), ("borrows", 1.0)] {
+        let quota = TeamQuota::new(0.0, 0.0, accelerators, 0.0);
+        sim.scheduler.teams.insert(name.into(), quota);
     }
-    let of = |team: &str, spec: JobSpec| JobSpec {
+    let of_team = |team: &str, spec: JobSpec| JobSpec {
         team: team.into(),
         ..spec
     };
-    t.worker("m-1", "a", false);
+    sim.add_worker("m-1", "a", false);
     let long = |id: &str, tasks: u32| JobSpec {
         expected_run_s: 100.0,
         due_s: Some(200.0),
         ..latency_sensitive(id, tasks)
     };
-    t.submit(of("borrows", long("j-1", 2)));
-    t.round();
-    t.beat("m-1");
-    t.beat("m-1");
-    assert_eq!(t.running(), 2);
-    t.submit(of("borrows", latency_sensitive("j-2", 3)));
+    sim.submit(of_team("borrows", long("j-1", 2)));
+    sim.run_cycle_and_commit();
+    sim.heartbeat("m-1");
+    sim.heartbeat("m-1");
+    assert_eq!(sim.running(), 2);
+    sim.submit(of_team("borrows", latency_sensitive("j-2", 3)));
     let large = JobSpec {
         priority: Priority::Normal,
         cores: 12.0,
@@ -50,35 +50,44 @@
         ram_gb: 96.0,
         ..spec("j-3", 1)
     };
-    t.submit(of("owed", large));
-    let stops = t.ask("m-1");
-    assert_eq!(stops.len(), 2, "{stops:?}");
-    assert!(stops.iter().all(|o| matches!(o, AgentCommand::Stop { .. })));
-    // One of the two exits first.
-    let worker = t.workers.get_mut("m-1").expect("a worker");
-    worker.execute(&stops[..1], TOKEN);
-    let orders = t.ask("m-1");
-    assert_eq!(runs(&orders), 0, "its room is kept: {orders:?}");
-    let worker = t.workers.get_mut("m-1").expect("a worker");
-    worker.execute(&stops[1..], TOKEN);
+    sim.submit(of_team("owed", large));
+    let stop_commands = sim.send_heartbeat("m-1");
+    assert_eq!(stop_commands.len(), 2, "{stop_commands:?}");
+    assert!(
+        stop_commands
+            .iter()
+            .all(|c| matches!(c, AgentCommand::Stop { .. }))
+    );
+    // Only one of the two stopped tasks has exited.
+    let worker = sim.workers.get_mut("m-1").expect("a worker");
+    worker.execute(&stop_commands[..1], TOKEN);
+    let commands = sim.send_heartbeat("m-1");
+    assert_eq!(
+        count_starts(&commands),
+        0,
+        "the freed resources stay reserved: {commands:?}"
+    );
+    let worker = sim.workers.get_mut("m-1").expect("a worker");
+    worker.execute(&stop_commands[1..], TOKEN);
     for _ in 0..6 {
-        t.beat("m-1");
-        t.wait(1);
+        sim.heartbeat("m-1");
+        sim.advance(1);
     }
-    let tasks = &t.workers["m-1"].tasks;
-    let live = tasks
+    let tasks = &sim.workers["m-1"].tasks;
+    let live_tasks = tasks
         .iter()
         .filter(|(_, (state, _))| *state != TaskState::Exited);
-    let names: Vec<&str> = live.map(|((task, _), _)| task.as_str()).collect();
+    let names: Vec<&str> = live_tasks.map(|((task, _), _)| task.as_str()).collect();
     assert_eq!(names, ["j-3/0"]);
 }
 
-// Guards against a task of normal priority that urgent arrays stop every time it has just begun: it loses least, and so it
-// would be stopped for each of them and never end.
+// A task that has just started loses the least work. Without a minimum run time, a steady stream of urgent arrays would
+// stop the same task of normal priority again and again, and it would never finish.
 #[test]
-fn an_array_is_not_stopped_for_a_higher_one_before_it_ran_for_a_while() {
-    let mut t = Scenario::new(0.0);
-    t.s.config
+fn array_task_is_not_preempted_for_a_higher_priority_array_before_a_minimum_run_time() {
+    let mut sim = Simulation::new(0.0);
+    sim.scheduler
+        .config
         .max_start_delay
         .insert("fast".into(), Micros::secs(8));
     let whole_machine = JobSpec {
@@ -86,92 +95,97 @@
         accelerators: 0.0,
         ..spec("j-1", 1)
     };
-    t.worker("m-1", "a", false);
-    t.submit(whole_machine);
-    t.round();
-    t.beat("m-1");
-    t.beat("m-1");
-    assert_eq!(t.running(), 1);
-    t.submit(JobSpec {
+    sim.add_worker("m-1", "a", false);
+    sim.submit(whole_machine);
+    sim.run_cycle_and_commit();
+    sim.heartbeat("m-1");
+    sim.heartbeat("m-1");
+    assert_eq!(sim.running(), 1);
+    sim.submit(JobSpec {
         class: "fast".into(),
         accelerators: 0.0,
         ..latency_sensitive("j-2", 1)
     });
-    let mut ran = 0;
-    let stops = loop {
-        t.round();
-        let stops = t.ask("m-1");
-        if !stops.is_empty() || ran > 60 {
-            break stops;
+    let mut run_time_s = 0;
+    let stop_commands = loop {
+        sim.run_cycle_and_commit();
+        let stop_commands = sim.send_heartbeat("m-1");
+        if !stop_commands.is_empty() || run_time_s > 60 {
+            break stop_commands;
         }
-        t.wait(1);
-        ran += 1;
+        sim.advance(1);
+        run_time_s += 1;
     };
     assert!(
-        matches!(&stops[..], [AgentCommand::Stop { task, .. }] if task == "j-1/0"),
-        "{stops:?}"
+        matches!(&stop_commands[..], [AgentCommand::Stop { task, .. }] if task == "j-1/0"),
+        "{stop_commands:?}"
     );
-    assert_eq!(ran, 45);
+    assert_eq!(run_time_s, 45);
 }
 
-// Guards against borrowed room that is taken back by stops where it is free again in less time than the stopped tasks need to
-// run once more.
+// Prevents borrowed resources from being reclaimed by preemption if they are free again in less time than the stopped
+// tasks need to run again.
 #[test]
-fn a_guarantee_waits_for_short_borrowed_tasks_but_not_for_long_ones() {
-    let stops = |expected_run_s: f64| {
-        let mut t = Scenario::new(0.0);
-        t.s.config.guarantee_start_delay = Some(Micros::secs(10));
+fn guarantee_waits_for_short_borrowing_tasks_but_preempts_long_ones() {
+    let stop_count = |expected_run_s: f64| {
+        let mut sim = Simulation::new(0.0);
+        sim.scheduler.config.guarantee_start_delay = Some(Micros::secs(10));
         for team in ["owed", "borrows"] {
-            let share = TeamQuota::new(0.0, 0.0, 1.0, 0.0);
-            t.s.teams.insert(team.into(), share);
+            let quota = TeamQuota::new(0.0, 0.0, 1.0, 0.0);
+            sim.scheduler.teams.insert(team.into(), quota);
         }
-        t.worker("m-1", "a", false);
-        t.submit(JobSpec {
+        sim.add_worker("m-1", "a", false);
+        sim.submit(JobSpec {
             team: "borrows".into(),
             expected_run_s,
             ..spec("j-1", 2)
         });
-        t.round();
-        t.beat("m-1");
-        t.beat("m-1");
-        t.submit(JobSpec {
+        sim.run_cycle_and_commit();
+        sim.heartbeat("m-1");
+        sim.heartbeat("m-1");
+        sim.submit(JobSpec {
             team: "owed".into(),
             ..spec("j-2", 1)
         });
-        t.round();
-        t.ask("m-1").len()
+        sim.run_cycle_and_commit();
+        sim.send_heartbeat("m-1").len()
     };
-    assert_eq!(stops(20.0), 0);
-    assert_eq!(stops(100.0), 1);
+    assert_eq!(stop_count(20.0), 0);
+    assert_eq!(stop_count(100.0), 1);
 }
 
-/// Seconds for which an empty machine is kept after such a job.
+/// Returns for how many seconds an empty machine is kept after this job has run on it.
 fn kept_after(job: JobSpec, on_spot: bool) -> u64 {
-    let mut t = Scenario::new(0.0);
-    t.worker("m-1", "a", on_spot);
-    t.submit(job);
-    t.s.plan_fleet(t.now, 1_000_000);
-    t.round();
-    t.beat("m-1");
-    t.wait(70);
-    let worker = t.workers.get_mut("m-1").expect("a worker");
+    let mut sim = Simulation::new(0.0);
+    sim.add_worker("m-1", "a", on_spot);
+    sim.submit(job);
+    sim.scheduler.plan_fleet(sim.now, 1_000_000);
+    sim.run_cycle_and_commit();
+    sim.heartbeat("m-1");
+    sim.advance(70);
+    let worker = sim.workers.get_mut("m-1").expect("a worker");
     worker.exit_all(ExitCause::Done);
-    t.beat("m-1");
-    t.beat("m-1");
+    sim.heartbeat("m-1");
+    sim.heartbeat("m-1");
     for seconds in 0..100 {
-        t.beat("m-1");
-        if !t.s.plan_fleet(t.now, 1_000_000).terminate.is_empty() {
+        sim.heartbeat("m-1");
+        if !sim
+            .scheduler
+            .plan_fleet(sim.now, 1_000_000)
+            .terminate
+            .is_empty()
+        {
             return seconds;
         }
-        t.wait(1);
+        sim.advance(1);
     }
     100
 }
 
-// Guards against machines that are terminated and provisioned again all the time where work comes and goes faster than
-// machines boot: each boot is paid for, and comes too late.
+// If work arrives and ends faster than machines are provisioned, machines would be terminated and provisioned again all
+// the time: each provisioning is paid for and ends too late.
 #[test]
-fn machines_are_kept_as_long_as_a_boot_takes_for_work_that_cannot_wait_for_one() {
+fn machines_are_kept_for_one_provisioning_time_after_latency_sensitive_work() {
     assert_eq!(kept_after(spec("j-1", 1), false), 5);
     assert_eq!(kept_after(spec("j-1", 1), true), 5);
     for spot in [true, false] {
@@ -183,9 +197,9 @@
     }
 }
 
-// Guards against machines at three times the price that wait for work which cheaper ones may serve.
+// Prevents on-demand machines from being kept, at three times the price, for work that may use spot machines.
 #[test]
-fn ordinary_machines_are_not_kept_for_work_that_may_use_spot_machines() {
+fn on_demand_machines_are_not_kept_for_work_that_may_use_spot_machines() {
     let job = JobSpec {
         spot: true,
         ..latency_sensitive("j-1", 1)
@@ -193,76 +207,77 @@
     assert_eq!(kept_after(job, false), 5);
 }
 
-// Guards against the finishes of many short tasks using up the writes for which starts wait.
+// Prevents the completions of many short tasks from using up the write rate that starts wait for.
 #[test]
-fn where_writes_are_short_finishes_wait_for_their_jobs_next_placement_or_end_or_some_seconds() {
-    let mut t = Scenario::new(0.0);
-    t.worker("m-1", "a", false);
-    t.submit(JobSpec {
+fn completions_wait_for_a_timeout_or_the_end_of_the_job_while_writes_are_limited() {
+    let mut sim = Simulation::new(0.0);
+    sim.add_worker("m-1", "a", false);
+    sim.submit(JobSpec {
         cores: 1.0,
         accelerators: 0.0,
         ram_gb: 1.0,
         ..spec("j-1", 3)
     });
-    t.round();
-    t.beat("m-1");
-    let finish = |t: &mut Scenario, index: u32| {
-        let worker = t.workers.get_mut("m-1").expect("a worker");
+    sim.run_cycle_and_commit();
+    sim.heartbeat("m-1");
+    let report_completion = |sim: &mut Simulation, index: u32| {
+        let worker = sim.workers.get_mut("m-1").expect("a worker");
         let task = format!("j-1/{index}");
         for ((name, _), state) in worker.tasks.iter_mut() {
             if *name == task {
                 *state = (TaskState::Exited, Some(ExitCause::Done));
             }
         }
-        let report = worker.report("m-1");
-        t.s.on_heartbeat(&report, t.via, t.now);
+        let heartbeat = worker.next_heartbeat("m-1");
+        sim.scheduler.on_heartbeat(&heartbeat, sim.via, sim.now);
     };
-    finish(&mut t, 0);
-    assert_eq!(t.s.next_batch(20, 36_000, true), vec![]);
-    t.wait(11);
-    finish(&mut t, 1);
-    let batch = t.s.next_batch(20, 36_000, true);
+    report_completion(&mut sim, 0);
+    assert_eq!(sim.scheduler.next_batch(20, 36_000, true), vec![]);
+    sim.advance(11);
+    report_completion(&mut sim, 1);
+    let batch = sim.scheduler.next_batch(20, 36_000, true);
     assert!(
         matches!(&batch[..], [Write::Chunk { record, .. }] if record.finished == 0b11),
         "{batch:?}"
     );
-    t.revision.0 += 1;
-    t.s.batch_applied(&batch, t.revision);
-    finish(&mut t, 2);
-    let batch = t.s.next_batch(20, 36_000, true);
+    sim.revision.0 += 1;
+    sim.scheduler.batch_applied(&batch, sim.revision);
+    report_completion(&mut sim, 2);
+    let batch = sim.scheduler.next_batch(20, 36_000, true);
     assert!(
         matches!(&batch[..], [Write::DoneAndRemove { .. }]),
         "{batch:?}"
     );
 }
 
-// Guards against a change for every task that starts, and for every machine that goes back: images are written where they
-// differ from what was written, and removed where they were.
+// Prevents a write for every task that starts and for every machine that is terminated: images are written only if they
+// differ from the recorded ones, and removed only if there is a record.
 #[test]
-fn images_are_written_once_and_removed_only_where_they_were() {
-    let mut t = Scenario::new(0.0);
-    t.worker("m-1", "a", false);
-    t.worker("m-2", "a", false);
+fn images_are_written_once_and_removed_only_if_recorded() {
+    let mut sim = Simulation::new(0.0);
+    sim.add_worker("m-1", "a", false);
+    sim.add_worker("m-2", "a", false);
     for n in 0..3 {
-        t.submit(spec(&format!("j-{n}"), 1));
-        t.round();
-        t.beat("m-1");
-        t.beat("m-1");
-        let written = t.images.remove(&MachineId("m-1".into()));
+        sim.submit(spec(&format!("j-{n}"), 1));
+        sim.run_cycle_and_commit();
+        sim.heartbeat("m-1");
+        sim.heartbeat("m-1");
+        let written = sim.images.remove(&MachineId("m-1".into()));
         assert_eq!(
             written.is_some(),
             n == 0,
             "the same image is not written again"
         );
-        let worker = t.workers.get_mut("m-1").expect("a worker");
+        let worker = sim.workers.get_mut("m-1").expect("a worker");
         worker.exit_all(ExitCause::Done);
-        t.beat("m-1");
-        t.beat("m-1");
+        sim.heartbeat("m-1");
+        sim.heartbeat("m-1");
     }
-    for (machine, removed) in [("m-2", false), ("m-1", true)] {
-        t.s.on_terminated(&[MachineId(machine.into())], t.now);
-        let batch = t.s.next_batch(20, 36_000, false);
+    for (machine, is_recorded) in [("m-2", false), ("m-1", true)] {
+        sim.scheduler
+            .on_terminated(&[MachineId(machine.into())], sim.now);
+        let batch = sim.scheduler.next_batch(20, 36_000, false);
         let is_removal = matches!(&batch[..], [Write::Images { images: None, .. }]);
-        assert_eq!(is_removal, removed, "{machine}: {batch:?}");
+        assert_eq!(is_removal, is_recorded, "{machine}: {batch:?}");
     }
 }
