--- a/tests/concurrent_failures.rs
+++ b/tests/concurrent_failures.rs
@@ -30,8 +30,8 @@
     assert_ne!(first, run(2));
 }
 
-/// Runs a scenario with all seeds: users submit 24 jobs in about 29 s, `faults` run from 14 s on, and 10 s after them
-/// the cluster must recover.
+/// Runs a scenario with all seeds: users submit 24 jobs in about 29 s, `faults` run from 14 s on, and from 10 s after
+/// their end the cluster has 150 s to recover.
 fn run_scenario(faults: impl Fn(&Rc<World>)) {
     for seed in SEEDS {
         println!("seed {seed}");
--- a/tests/support/world/mod.rs
+++ b/tests/support/world/mod.rs
@@ -477,7 +477,8 @@
             .collect()
     }
 
-    /// Returns all hosts outside a zone, including the services and the users.
+    /// Returns all hosts outside a zone, including the services and `USERS`, but not the client hosts that send the
+    /// users' requests.
     pub fn hosts_outside_zone(&self, name: &str) -> Vec<HostId> {
         let inside = self.zone_hosts(name);
         let machines = self.machines.borrow();
