--- a/src/scheduler/scenarios/commands.rs
+++ b/src/scheduler/scenarios/commands.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn lost_answer_is_repeated_with_the_same_attempt_and_a_duplicate_heartbeat_gets_no_commands() {
+fn lost_response_is_repeated_with_the_same_attempt_and_a_duplicate_heartbeat_gets_no_commands() {
     let mut sim = Simulation::new(0.0);
     sim.add_worker("m-1", "a", false);
     sim.submit(spec("j-1", 1));
@@ -385,7 +385,7 @@
     assert_eq!(sim.workers["m-1"].running(), 2);
 }
 
-// Prevents writes of low urgency from using up the write rate for those that users and workers wait for.
+// Prevents less urgent writes from using up the write rate that is needed for writes that users and workers wait for.
 #[test]
 fn images_and_removals_of_old_records_wait_while_writes_are_limited() {
     let mut sim = Simulation::new(0.0);
@@ -465,7 +465,7 @@
     );
 }
 
-// Prevents thousands of jobs with one task each from using up the write rate.
+// Prevents many jobs with one task each from using up the write rate that all other work needs.
 #[test]
 fn job_with_one_task_ends_in_a_single_write_of_three_operations() {
     let mut sim = Simulation::new(0.0);
--- a/src/scheduler/scenarios/failure_detection.rs
+++ b/src/scheduler/scenarios/failure_detection.rs
@@ -51,7 +51,7 @@
         sim.heartbeat(&format!("m-a{i}"));
     }
     assert!(sim.scheduler.plan_fleet(sim.now, 0).terminate.is_empty());
-    // Another controller receives heartbeats of half of them. The leases of the others expire.
+    // Another controller receives heartbeats of half of the machines in zone b. The leases of the others expire.
     sim.advance(25);
     let contacted: Vec<MachineId> = (0..4).map(|i| MachineId(format!("m-b{i}"))).collect();
     sim.scheduler.on_contact("n-2", &contacted, sim.now);
@@ -163,19 +163,23 @@
     assert!((1..=3).contains(&terminated), "{terminated} terminated");
 }
 
-/// Sends a heartbeat whose answer is lost. As the worker gets no answers, it sends each heartbeat through another
+/// Sends a heartbeat whose response is lost. As the worker gets no responses, it sends each heartbeat through another
 /// controller.
-fn heartbeat_with_lost_answer(sim: &mut Simulation, name: &str, index: usize) -> Vec<AgentCommand> {
+fn heartbeat_with_lost_response(
+    sim: &mut Simulation,
+    name: &str,
+    index: usize,
+) -> Vec<AgentCommand> {
     sim.via = ["n-1", "n-2", "n-3"][index % 3];
     let commands = sim.send_heartbeat(name);
     sim.via = "n-1";
     commands
 }
 
-// Heartbeats of a machine may arrive while answers do not reach it. Without detection of this, the machine would never
-// time out, and offers in id order would place the same task there forever.
+// Heartbeats of a machine may arrive while responses do not reach it. Without detection of this, the machine would
+// never time out, and offers in id order would place the same task there forever.
 #[test]
-fn machine_that_acknowledges_no_answers_gets_no_offers_and_is_terminated() {
+fn machine_that_acknowledges_no_responses_gets_no_offers_and_is_terminated() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler.config.idle_timeout = Some(Micros::secs(10_000));
     for i in 1..9 {
@@ -184,20 +188,20 @@
     sim.submit(spec("j-1", 1));
     sim.run_cycle_and_commit();
     assert_eq!(
-        count_starts(&heartbeat_with_lost_answer(&mut sim, "m-1", 0)),
+        count_starts(&heartbeat_with_lost_response(&mut sim, "m-1", 0)),
         1
     );
     sim.advance(5);
     assert_eq!(
-        count_starts(&heartbeat_with_lost_answer(&mut sim, "m-1", 1)),
+        count_starts(&heartbeat_with_lost_response(&mut sim, "m-1", 1)),
         1,
-        "a single lost answer does not count"
+        "a single lost response does not count"
     );
     sim.advance(5);
     assert_eq!(
-        count_starts(&heartbeat_with_lost_answer(&mut sim, "m-1", 2)),
+        count_starts(&heartbeat_with_lost_response(&mut sim, "m-1", 2)),
         0,
-        "two consecutive lost answers do"
+        "two consecutive lost responses do"
     );
     sim.advance(1);
     sim.heartbeat_numbered(2..9);
@@ -216,14 +220,14 @@
     sim.heartbeat_all();
     assert!(
         sim.workers["m-1"].running() > 0,
-        "answers arrive again, so the machine takes offers again"
+        "responses arrive again, so the machine takes offers again"
     );
     sim.scheduler.end_job(&running_job, aborted(0));
     let mut waited = 0;
     while sim.scheduler.plan_fleet(sim.now, 0).terminate.is_empty() {
         sim.advance(5);
         waited += 5;
-        heartbeat_with_lost_answer(&mut sim, "m-1", waited);
+        heartbeat_with_lost_response(&mut sim, "m-1", waited);
         sim.heartbeat_numbered(2..9);
         assert!(
             waited <= 30,
@@ -240,7 +244,7 @@
 
 // Prevents a zone from being terminated behind a partition that lets messages pass in one direction only.
 #[test]
-fn many_machines_that_acknowledge_no_answers_are_treated_as_a_partition() {
+fn many_machines_that_acknowledge_no_responses_are_treated_as_a_partition() {
     let mut sim = Simulation::new(0.0);
     sim.scheduler.config.idle_timeout = Some(Micros::secs(10_000));
     for i in 0..8 {
@@ -255,7 +259,7 @@
         for i in 0..8 {
             let name = format!("m-{i}");
             if i < 4 {
-                heartbeat_with_lost_answer(&mut sim, &name, second / 5);
+                heartbeat_with_lost_response(&mut sim, &name, second / 5);
             } else {
                 sim.heartbeat(&name);
             }
@@ -287,8 +291,8 @@
     sim.advance(40);
     assert_eq!(sim.handle_heartbeat(&heartbeat_without_tasks), vec![]);
     assert_eq!(sim.scheduler.jobs[&JobId("j-1".into())].live, 2);
-    // A new leader without any heartbeat of the machine receives it: it proves neither that the tasks are gone nor that
-    // the machine is alive, and no start is sent.
+    // A new leader that has received no other heartbeat of the machine receives the duplicate. This proves neither that
+    // the tasks are gone nor that the machine is alive, and no start is sent.
     sim.submit(spec("j-2", 2));
     sim.change_leader(token_after(TOKEN, 1));
     assert_eq!(
@@ -341,8 +345,8 @@
     assert!(!sim.scheduler.machines.contains_key(&terminated));
 }
 
-// A controller that has lost the key-value store and the other controllers keeps its workers alive: they must not be
-// terminated. Machines that fail behind it must not be kept forever either.
+// A controller that can reach neither the key-value store nor the other controllers keeps its workers alive, so they
+// must not be terminated. Machines that fail while they are connected to it must not be kept forever either.
 #[test]
 fn suspicion_is_suppressed_for_workers_of_an_isolated_controller() {
     let mut sim = Simulation::new(0.0);
@@ -479,8 +483,8 @@
     );
 }
 
-// A leader whose process was paused for longer than a lease may still be the leader, as after an outage. The heartbeats
-// that it could not receive during the pause must not count as missed.
+// A leader whose process was paused for longer than a worker lease may still be the leader, as after an outage. The
+// heartbeats that it could not receive during the pause must not count as missed.
 #[test]
 fn process_pause_of_the_leader_does_not_count_as_missed_heartbeats() {
     let mut sim = Simulation::new(0.0);
@@ -605,7 +609,7 @@
     for second in 1..60 {
         sim.advance(1);
         sim.scheduler.set_controllers(&controllers, sim.now);
-        // Two of them are in contact with the unreachable controller only.
+        // Two of the machines are in contact with the unreachable controller only.
         if second % 3 == 0 {
             sim.heartbeat_numbered(2..10);
         }
--- a/src/scheduler/scenarios/faults.rs
+++ b/src/scheduler/scenarios/faults.rs
@@ -97,8 +97,8 @@
     failed
 }
 
-// Prevents healthy machines from being terminated because two faulty jobs ran on them, machines from being provisioned
-// for tasks of a large faulty job that are all started again and again, and a faulty job from hiding a faulty machine.
+// Prevents three faults: healthy machines are terminated because two faulty jobs ran on them, all tasks of a large
+// faulty job are started, and machines provisioned for them, again and again, or a faulty job hides a faulty machine.
 #[test]
 fn failures_are_attributed_to_faulty_jobs_or_to_a_faulty_machine() {
     let mut sim = Simulation::new(0.0);
@@ -141,8 +141,7 @@
     );
 }
 
-// Prevents failed tasks of a healthy job, some of which ran on faulty machines, from waiting until all its other tasks
-// have ended.
+// Prevents the tasks of a healthy job that failed on faulty machines from waiting until all its other tasks have ended.
 #[test]
 fn tasks_that_failed_on_faulty_machines_are_retried_while_the_others_run() {
     let mut sim = Simulation::new(0.0);
--- a/src/scheduler/scenarios/fleet.rs
+++ b/src/scheduler/scenarios/fleet.rs
@@ -57,9 +57,9 @@
     assert_eq!(sim.running(), 1);
 }
 
-/// Provisions a machine for each entry of `ready_after`, and a job of two tasks per machine. Each machine becomes ready
-/// after its entry in seconds; `None` means never. Returns how many of them are terminated within `until` seconds, and
-/// the highest number of further machines that a plan requests in that time.
+/// Provisions a machine for each entry of `ready_after`, and submits a job with two tasks per machine. Each machine
+/// becomes ready after its entry in seconds; `None` means never. Returns how many machines are terminated within
+/// `until` seconds, and the highest number of further machines that a plan requests in that time.
 fn simulate_provisioning(
     sim: &mut Simulation,
     zone: &str,
@@ -97,8 +97,8 @@
     (terminated.len(), max_requested)
 }
 
-// Prevents two faults: new machines are terminated and provisioned again forever when all of them become ready late, or
-// a few machines that never become ready are waited for as long.
+// Prevents two faults: new machines are terminated and provisioned again forever while all of them become ready late,
+// or the leader waits just as long for a few machines that never become ready.
 #[test]
 fn provisioning_timeout_is_longer_if_all_machines_are_late_but_not_if_a_few_are() {
     // The usual provisioning time is 40 s. Two of twenty machines never become ready.
@@ -290,8 +290,8 @@
     assert_eq!(provisioned_for(100), 75);
 }
 
-// Once, 255 machines were provisioned in a partitioned zone: all machines there had been terminated, so that it had the
-// fewest of all zones.
+// Once, 255 machines were provisioned in a partitioned zone: all machines there had been terminated, so that the zone
+// had the fewest of all.
 #[test]
 fn unreachable_zone_is_provisioned_last() {
     let mut sim = Simulation::new(0.0);
--- a/src/scheduler/scenarios/latency_sensitive.rs
+++ b/src/scheduler/scenarios/latency_sensitive.rs
@@ -81,8 +81,8 @@
     assert_eq!(names, ["j-3/0"]);
 }
 
-// A task that has just started loses the least work. Without a minimum run time, a steady stream of urgent arrays would
-// stop the same task of normal priority again and again, and it would never finish.
+// A task that has just started loses the least work by a preemption. Without a minimum run time, a steady stream of
+// urgent arrays would stop the same task of normal priority again and again, and it would never finish.
 #[test]
 fn array_task_is_not_preempted_for_a_higher_priority_array_before_a_minimum_run_time() {
     let mut sim = Simulation::new(0.0);
@@ -182,8 +182,8 @@
     100
 }
 
-// If work arrives and ends faster than machines are provisioned, machines would be terminated and provisioned again all
-// the time: each provisioning is paid for and ends too late.
+// Prevents machines from being terminated and provisioned again all the time if work arrives and ends faster than
+// machines are provisioned: each provisioning is paid for and ends too late.
 #[test]
 fn machines_are_kept_for_one_provisioning_time_after_latency_sensitive_work() {
     assert_eq!(kept_after(spec("j-1", 1), false), 5);
@@ -207,7 +207,8 @@
     assert_eq!(kept_after(job, false), 5);
 }
 
-// Prevents the completions of many short tasks from using up the write rate that starts wait for.
+// Prevents the completions of many short tasks from using up the write rate that starts wait for: they are written with
+// the next placement in their chunk, at the end of the job, or after 10 s.
 #[test]
 fn completions_wait_for_a_timeout_or_the_end_of_the_job_while_writes_are_limited() {
     let mut sim = Simulation::new(0.0);
--- a/src/scheduler/scenarios/mod.rs
+++ b/src/scheduler/scenarios/mod.rs
@@ -216,7 +216,8 @@
         }
     }
 
-    /// Replaces the leader by a new one that starts from the stored state, as after a restart of all controllers.
+    /// Replaces the leader by a new one that starts from the stored state, as after a failover or a restart of all
+    /// controllers.
     fn change_leader(&mut self, token: FencingToken) {
         let teams = self.scheduler.teams.clone();
         self.scheduler = Scheduler::new(config(), teams, token, 1, self.now);
@@ -255,7 +256,7 @@
             ..Worker::default()
         };
         self.workers.insert(name.into(), worker);
-        // The worker receives the fencing token in the first answer and acknowledges it in the second heartbeat.
+        // The worker receives the fencing token in the first response and acknowledges it in the second heartbeat.
         self.heartbeat(name);
         self.heartbeat(name);
     }
@@ -322,7 +323,7 @@
         self.commit();
     }
 
-    /// Sends a heartbeat of a worker. Returns the commands in the answer, which are not delivered to the worker.
+    /// Sends a heartbeat of a worker. Returns the commands in the response, which are not delivered to the worker.
     fn send_heartbeat(&mut self, name: &str) -> Vec<AgentCommand> {
         let heartbeat = self
             .workers
@@ -332,7 +333,7 @@
         self.handle_heartbeat(&heartbeat)
     }
 
-    /// Passes a heartbeat to the scheduler, runs a cycle and returns the commands in the answer.
+    /// Passes a heartbeat to the scheduler, runs a cycle and returns the commands in the response.
     fn handle_heartbeat(&mut self, heartbeat: &Heartbeat) -> Vec<AgentCommand> {
         self.scheduler.on_heartbeat(heartbeat, self.via, self.now);
         self.run_cycle_and_commit();
@@ -341,15 +342,15 @@
             .commands_for(&heartbeat.machine, position, self.now)
     }
 
-    /// Sends heartbeats of the machines `m-<number>` and delivers the answers.
+    /// Sends heartbeats of the machines `m-<number>` and delivers the responses.
     fn heartbeat_numbered(&mut self, numbers: impl IntoIterator<Item = usize>) {
         for i in numbers {
             self.heartbeat(&format!("m-{i}"));
         }
     }
 
-    /// Sends heartbeats of all machines except the first `skipped`, and delivers the answers after a single scheduling
-    /// cycle for all of them, as a busy leader does.
+    /// Sends heartbeats of all machines except the first `skipped`, and delivers the responses after a single
+    /// scheduling cycle for all of them, as a busy leader does.
     fn heartbeat_in_one_cycle(&mut self, skipped: usize) {
         let mut heartbeats = Vec::new();
         for (name, worker) in self.workers.iter_mut().skip(skipped) {
@@ -371,7 +372,7 @@
         }
     }
 
-    /// Sends a heartbeat of a worker and delivers the answer.
+    /// Sends a heartbeat of a worker and delivers the response.
     fn heartbeat(&mut self, name: &str) {
         let commands = self.send_heartbeat(name);
         let token = self.scheduler.token();
@@ -381,7 +382,7 @@
             .execute(&commands, token);
     }
 
-    /// Sends a heartbeat of each worker in turn and delivers the answers.
+    /// Sends a heartbeat of each worker in turn and delivers the responses.
     fn heartbeat_all(&mut self) {
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
--- a/src/scheduler/scenarios/recovery.rs
+++ b/src/scheduler/scenarios/recovery.rs
@@ -50,7 +50,7 @@
     sim.change_leader(token_after(TOKEN, 1));
     sim.heartbeat("m-1");
     sim.heartbeat("m-1");
-    // The worker drops the old leader's answer, as its token is lower than the highest one received.
+    // The worker drops the old leader's response, whose token is lower than the highest one received.
     sim.workers
         .get_mut("m-1")
         .unwrap()
@@ -114,7 +114,7 @@
 
 // A worker may restart with a new agent epoch before the heartbeats of the old one are missed. The tasks that it lost
 // start again, commands in transit to the old agent epoch do not count as received, and a single restart does not make
-// the machine count as unreachable for answers.
+// the machine count as unreachable for responses.
 #[test]
 fn tasks_of_a_worker_that_restarts_at_once_with_a_new_agent_epoch_are_started_again() {
     let mut sim = Simulation::new(0.0);
@@ -178,8 +178,8 @@
     assert_eq!(provisioned, 3);
 }
 
-// Prevents tasks from waiting for machines that an earlier leader terminated although its provisioning record still
-// contains them.
+// Prevents tasks from waiting for machines that an earlier leader terminated but that its provisioning record still
+// contains.
 #[test]
 fn new_leader_does_not_count_machines_past_their_provisioning_time_as_incoming() {
     let mut sim = Simulation::new(0.0);
@@ -210,8 +210,8 @@
     );
 }
 
-// Prevents a new leader from counting machines that the earlier leader terminated as late, as in incident inc-f66a: it
-// would then wait longer for other late machines of these zones, and prefer other zones for scale-out.
+// Prevents a new leader from counting as late the machines that the earlier leader terminated, as in incident inc-f66a:
+// it would then wait longer for other late machines of these zones, and prefer other zones for scale-out.
 #[test]
 fn unlisted_machines_of_an_earlier_leader_do_not_count_as_late() {
     let mut sim = Simulation::new(0.0);
