--- a/crates/load/src/site.rs
+++ b/crates/load/src/site.rs
@@ -11,7 +11,7 @@
 use ravenhead::http::{Client, HttpRequest, HttpResponse, serve};
 use ravenhead::net::Listener;
 use ravenhead::units::Micros;
-use ravenhead_stand_ins::keys::{Keys, query_field};
+use ravenhead_stand_ins::keys::{KeyValueStore, query_field};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::fmt;
@@ -69,7 +69,7 @@
 
 struct Inner {
     workers: usize,
-    keys: RefCell<Keys>,
+    keys: RefCell<KeyValueStore>,
     keys_changed: Event,
     recorder: RefCell<Recorder>,
 }
@@ -157,7 +157,7 @@
 
     /// Everything that the state service holds is lost; returns when it is rebuilt and confirmed, or after two minutes.
     pub async fn lose_state(&self) -> Rebuilt {
-        let keys = self.0.keys.borrow().keys.len();
+        let keys = self.0.keys.borrow().entries.len();
         self.0.keys.borrow_mut().lose_all();
         self.0.keys_changed.notify(usize::MAX);
         let asked = || self.0.recorder.borrow().state_requests;
@@ -171,7 +171,7 @@
         };
         while rebuilt.confirmed.is_none() && began.elapsed() < REBUILT_WITHIN {
             Timer::after(Duration::from_millis(50)).await;
-            let loss = self.0.keys.borrow().keys.get("r/loss").cloned();
+            let loss = self.0.keys.borrow().entries.get("r/loss").cloned();
             let Some((loss, _)) = loss else { continue };
             let passed = began.elapsed();
             if loss["restored"] == true {
@@ -206,22 +206,22 @@
                 let body: Value = serde_json::from_slice(&call.body).unwrap_or_default();
                 let changes = body["writes"].as_array().map_or(0, Vec::len);
                 site.recorder.borrow_mut().state_changes += changes as u64;
-                let reply = site.keys.borrow_mut().txn(&body);
+                let reply = site.keys.borrow_mut().apply_transaction(&body);
                 site.keys_changed.notify(usize::MAX);
                 reply
             }
             (Method::Post, ["holds"]) => {
                 let mut keys = site.keys.borrow_mut();
-                keys.leases += 1;
-                HttpResponse::json(200, &json!({ "tenure": keys.leases }))
+                keys.last_lease += 1;
+                HttpResponse::json(200, &json!({ "tenure": keys.last_lease }))
             }
             (Method::Post, _) => HttpResponse::json(200, &json!({})),
             (Method::Delete, ["holds", lease]) => {
-                let reply = site.keys.borrow_mut().end(lease.parse().unwrap_or(0));
+                let reply = site.keys.borrow_mut().end_lease(lease.parse().unwrap_or(0));
                 site.keys_changed.notify(usize::MAX);
                 reply
             }
-            (Method::Get, ["keys"]) => site.keys.borrow().list(&call.query),
+            (Method::Get, ["keys"]) => site.keys.borrow().list_page(&call.query),
             (Method::Get, ["watch"]) => self.watch(call).await,
             (Method::Get, _) => {
                 let key = call.path.trim_start_matches("/keys/");
@@ -235,7 +235,7 @@
         let number = |name| query_field(&call.query, name).and_then(|v| v.parse::<u64>().ok());
         let since = number("from").unwrap_or(0);
         let changed = self.0.keys_changed.listen();
-        if self.0.keys.borrow().epoch <= since {
+        if self.0.keys.borrow().revision <= since {
             let wait = Duration::from_millis(number("waitMs").unwrap_or(0));
             let time_out = async {
                 Timer::after(wait).await;
@@ -243,8 +243,8 @@
             changed.or(time_out).await;
         }
         let keys = self.0.keys.borrow();
-        let news: Vec<&Value> = keys.news_since(since).collect();
-        HttpResponse::json(200, &json!({"epoch": keys.epoch, "news": news}))
+        let news: Vec<&Value> = keys.changes_since(since).collect();
+        HttpResponse::json(200, &json!({"epoch": keys.revision, "news": news}))
     }
 
     fn answer_cloud(&self, call: &HttpRequest) -> HttpResponse {
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the outside systems of ravenhead, by their published protocols, for tests and load measurements.
+//! In-memory implementations of the external services that ravenhead depends on, for tests and load measurements.
 
 #![warn(missing_docs)]
 
