--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the scenarios about whole controllers share.
-#![allow(dead_code, reason = "each test program uses a part of it")]
+//! Code shared by the tests that run whole controllers.
+#![allow(dead_code, reason = "each test binary uses only part of it")]
 
 pub mod invariants;
 pub mod loopback;
