--- a/tests/concurrent_failures.rs
+++ b/tests/concurrent_failures.rs
@@ -30,8 +30,8 @@
     assert_ne!(first, run(2));
 }
 
-/// Runs a scenario with all seeds: users submit jobs for some 40 s, `faults` run meanwhile, then the cluster must
-/// recover.
+/// Runs a scenario with all seeds: users submit 24 jobs in about 29 s, `faults` run from 14 s on, and 10 s after them
+/// the cluster must recover.
 fn run_scenario(faults: impl Fn(&Rc<World>)) {
     for seed in SEEDS {
         println!("seed {seed}");
@@ -593,14 +593,14 @@
     }
 }
 
-/// What isolates the leader from the state service, and from which other hosts.
+/// What isolates the leader from the key-value store, and from which other hosts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum LeaderIsolation {
-    /// The state service refuses only the leader.
+    /// The key-value store refuses only the leader.
     StateRefused,
-    /// The leader reaches neither the state service nor any other controller.
+    /// The leader reaches neither the key-value store nor any other controller.
     WorkersOnly,
-    /// The leader reaches neither the state service nor one of the other controllers.
+    /// The leader reaches neither the key-value store nor one of the other controllers.
     OnePeer,
     /// The leader's zone, with its machines, is partitioned from all other hosts.
     Zone,
@@ -610,7 +610,8 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum ExtraFault {
     None,
-    /// The leader is killed 1.5 s into the outage, once it has been told of the cancellations, and restarted at once.
+    /// The leader is killed 1.5 s into the outage, once it has been told of the cancellations, and restarted 0.3 s
+    /// later.
     LeaderRestarts,
     /// The controller that confirmed a cancellation is killed right after and restarted 4 s into the outage.
     ConfirmerRestarts,
@@ -620,9 +621,9 @@
     MachinesPause(f64),
 }
 
-/// Cancels running jobs through another controller while the leader is isolated. Then the state service is unavailable
-/// to all for longer than the cancellation deadline, while workers keep sending heartbeats to the controllers that they
-/// reach.
+/// Cancels running jobs through another controller while the leader is isolated. Then the key-value store is
+/// unavailable to all for longer than the cancellation deadline, while workers keep sending heartbeats to the
+/// controllers that they reach.
 fn cancel_while_leader_is_isolated(seed: u64, isolation: LeaderIsolation, extra: ExtraFault) {
     let w = World::new(seed, 3);
     for n in 0..6 {
@@ -738,7 +739,7 @@
 }
 
 // Guards against tasks that are started again or stopped by a restart of all controllers: each returns at its own time,
-// the state service is slow or refuses one of them, and duplicates of old heartbeats arrive.
+// the key-value store is slow or refuses one of them, and duplicates of old heartbeats arrive.
 #[test]
 fn running_tasks_are_neither_restarted_nor_stopped_by_a_full_restart() {
     for (extra_latency_s, refused, restart_delays_s) in [
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,7 +1,7 @@
 //! Scenarios of 4,200 machines: whole controllers against simulated workers, in memory and in virtual time. Worker
 //! timings are those of the deployments with most machines, all other limits are the smallest of any deployment.
 //!
-//! The invariant checker checks each step. The state service and the cloud enforce their limits.
+//! The invariant checker checks each step. The key-value store and the cloud enforce their limits.
 
 mod support;
 
@@ -15,7 +15,6 @@
 const TASKS: u32 = 600;
 /// Number of jobs that together have one task per machine.
 const JOBS: usize = 7;
-/// Microseconds per second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
 fn deployment() -> Deployment {
--- a/tests/pinned/mod.rs
+++ b/tests/pinned/mod.rs
@@ -137,7 +137,7 @@
     }
 }
 
-/// Sends bytes on a new connection and reads one answer. Returns None if there is none within 30 s.
+/// Sends bytes on a new connection and reads one response. Returns None if there is none within 30 s.
 pub fn send(to: SocketAddr, bytes: &[u8]) -> Option<Message> {
     let stream = TcpStream::connect(to).ok()?;
     stream
--- a/tests/pinned_records.rs
+++ b/tests/pinned_records.rs
@@ -1,10 +1,10 @@
 //! The keys and bytes of every stored record, compared with fixtures.
 //!
-//! Records in the state service outlive every release, so a change of their keys or fields would make records
+//! Records in the key-value store outlive every release, so a change of their keys or fields would make records
 //! unreadable that another release wrote. `fixtures/pinned/records.txt` holds the changes as released, in the form in
-//! which they are sent to the state service. `records-of-earlier-releases.txt` was written by hand and holds other data
-//! that must stay readable: record formats of earlier releases, records without the fields that have a default, and
-//! answers of the state service. Neither file is ever regenerated.
+//! which they are sent to the key-value store. `records-of-earlier-releases.txt` was written by hand and holds other
+//! data that must stay readable: record formats of earlier releases, records without the fields that have a default,
+//! and responses of the key-value store. Neither file is ever regenerated.
 
 mod support;
 
--- a/tests/state_loss.rs
+++ b/tests/state_loss.rs
@@ -1,4 +1,4 @@
-//! Scenarios in which the state service loses data while jobs run, with whole controllers in memory and in virtual
+//! Scenarios in which the key-value store loses data while jobs run, with whole controllers in memory and in virtual
 //! time.
 //!
 //! The invariant checker checks each step. Within two minutes the stored state must match the running tasks again, and
@@ -107,7 +107,8 @@
     w.assert_recovers(200.0);
 }
 
-/// Runs a scenario with all losses and seeds. `faults` returns the number of the loss that must be confirmed.
+/// Runs a scenario with each of the losses and seeds. `faults` returns the number of the loss that must be confirmed,
+/// or 0 if nothing that must be rebuilt was lost.
 fn run_scenario(losses: &[Loss], faults: impl Fn(&Rc<World>, Loss) -> u64) {
     for loss in losses {
         for seed in SEEDS {
@@ -234,7 +235,7 @@
         let w = cluster_with_traffic(seed);
         let leader = w.await_leader();
         let isolated = (leader + 1) % 3;
-        // The state service refuses the other controllers first, so that they do not see the change.
+        // The key-value store refuses the other controllers first, so that they do not see the change.
         let others: Vec<usize> = (0..3).filter(|n| *n != isolated).collect();
         for n in &others {
             w.set_node_refused(*n, true);
@@ -280,7 +281,8 @@
     }
 }
 
-/// Measures how long a fully loaded fleet takes to restore its lost state, and until all machines have confirmed it.
+/// Measures how long a fully loaded fleet takes to restore its lost state, and how long until all machines have
+/// confirmed it. Both must be within two minutes, and no running task may be stopped.
 fn rebuild_a_fleet(machines: usize) {
     let deployment = Deployment {
         rebuilds: true,
--- a/tests/support/sim.rs
+++ b/tests/support/sim.rs
@@ -21,7 +21,7 @@
 pub type HostId = usize;
 /// Host that is current while the scenario's own code runs.
 pub const SCENARIO: HostId = usize::MAX;
-/// Clients of users, one routine each, are hosts with numbers above this one.
+/// External clients, for users and for duplicates of heartbeats, are hosts with numbers above this one.
 const EXTERNAL_CLIENTS: HostId = 1_000_000;
 /// Wall-clock time at the start of every run, in microseconds since the Unix epoch.
 const EPOCH: u64 = 1_800_000_000_000_000;
--- a/tests/support/world/state_service.rs
+++ b/tests/support/world/state_service.rs
@@ -1,4 +1,4 @@
-//! The simulated state service, with its limits and faults.
+//! The simulated key-value store, with its limits and faults.
 
 use super::super::keys::query_field;
 use super::super::sim::{HostId, SimListener, with_timeout};
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Responds once there are changes, or after three seconds. While the state service refuses the caller, the
+    /// Responds once there are changes, or after three seconds. While the key-value store refuses the caller, the
     /// response is withheld.
     async fn watch(&self, from: HostId, call: &HttpRequest) -> HttpResponse {
         let since = query_field(&call.query, "from");
